--- a/core/poison/ban.go
+++ b/core/poison/ban.go
@@ -9,51 +9,52 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// banFor is how long a request stays banned: time for an upstream that it ends to be
-// mended. Then it may end three more.
-const banFor = 24 * time.Hour
+// banTTL is how long a request stays banned: enough time to fix an upstream that it
+// crashes. After that it may crash three more.
+const banTTL = 24 * time.Hour
 
 const (
-	// maxAhead is how far ahead the clock of the VM that decided may be, or what it
-	// says is not taken in: it would hold for ever.
-	maxAhead = 10 * time.Minute
-	// maxEvents bounds the events that nobody has taken yet.
+	// maxClockSkew is how far ahead the clock of the VM that decided a ban may be. Bans
+	// from further in the future are ignored, as they would never expire.
+	maxClockSkew = 10 * time.Minute
+	// maxEvents bounds the events that have not been taken yet.
 	maxEvents = 2 * maxBans
 )
 
-// Ban says that a request is not sent to upstreams any more, or is again.
+// Ban says that a request is no longer sent to upstreams, or that it is again.
 type Ban struct {
 	Print Print
-	// At is when it was decided, in Unix milliseconds by the clock of the VM that did.
-	// Of two for a request the later holds.
+	// At is when the ban was decided, in Unix milliseconds by the clock of the VM that
+	// decided it. Of two bans of a request the later one wins.
 	At int64
-	// Lifted bans hold no more: the request was answered, or an operator says so.
+	// Lifted bans are not in force: the request was answered, or an operator lifted the
+	// ban.
 	Lifted bool
 }
 
-// beats reports whether b holds against other, of the same request.
-func (b Ban) beats(other Ban) bool {
+// supersedes reports whether b replaces other, a ban of the same request.
+func (b Ban) supersedes(other Ban) bool {
 	return b.At > other.At || b.At == other.At && b.Lifted && !other.Lifted
 }
 
-// record is a ban as a VM keeps it.
-type record struct {
+// banRecord is a ban as a VM stores it.
+type banRecord struct {
 	Ban
-	kept bool // The platform has it.
-	// lastEnd is when the last of the ends came on which the ban rests, or the latest
-	// moment at which it may have.
-	lastEnd time.Time
+	persisted bool // The platform has stored it.
+	// lastCrash is the time of the last of the crashes that the ban is based on, or the
+	// latest time at which it may have been.
+	lastCrash time.Time
 }
 
-// until returns how long it will hold from now on.
-func (r *record) until(now time.Time) time.Duration {
-	return time.UnixMilli(r.At).Add(banFor).Sub(now)
+// remaining returns how long the ban stays in force.
+func (r *banRecord) remaining(now time.Time) time.Duration {
+	return time.UnixMilli(r.At).Add(banTTL).Sub(now)
 }
 
-// active returns the ban of a request that holds, or nil.
-func (l *Ledger) active(now time.Time, p Print) *record {
+// activeBan returns the ban of a request that is in force, or nil.
+func (l *Ledger) activeBan(now time.Time, p Print) *banRecord {
 	b := l.bans[p]
-	if b == nil || b.Lifted || b.until(now) <= 0 {
+	if b == nil || b.Lifted || b.remaining(now) <= 0 {
 		return nil
 	}
 	return b
@@ -62,56 +63,57 @@
 // Event is a ban that this VM has learned of or dropped, for its log and the platform.
 type Event struct {
 	Ban
-	// Dropped says that it is not remembered any more: it is over, or the oldest of too
+	// Dropped says that the ban is forgotten: it has expired, or was the oldest of too
 	// many.
 	Dropped bool
-	// Ends are the upstreams that ended under the request, as far as this VM knows.
+	// Ends are the incarnations that crashed with the request in flight, as far as this VM
+	// knows.
 	Ends []string
 }
 
-// merge takes in a ban unless a later one is known, and reports whether it did.
+// merge adds a ban unless it is already superseded, and reports whether it did.
 func (l *Ledger) merge(now time.Time, b Ban) bool {
 	old := l.bans[b.Print]
 	age := now.Sub(time.UnixMilli(b.At))
-	if old != nil && !b.beats(old.Ban) || age >= banFor || age < -maxAhead {
+	if old != nil && !b.supersedes(old.Ban) || age >= banTTL || age < -maxClockSkew {
 		return false
 	}
 	if old == nil {
 		l.heads[b.Print.Head]++
 	}
-	own := &record{Ban: b, lastEnd: now.Add(-settleFor)}
+	own := &banRecord{Ban: b, lastCrash: now.Add(-settleTime)}
 	l.bans[b.Print] = own
 	e := Event{Ban: b}
 	if s := l.suspects[b.Print]; s != nil {
-		if len(s.ends) > 0 {
-			own.lastEnd = s.lastEnd()
+		if len(s.crashes) > 0 {
+			own.lastCrash = s.lastCrash()
 		}
-		for _, r := range s.ends {
+		for _, r := range s.crashes {
 			e.Ends = append(e.Ends, r.Target)
 			if !b.Lifted {
-				l.explain(now, r.Target)
+				l.attribute(now, r.Target)
 			}
 		}
 		l.clear(b.Print)
 	}
 	if old == nil || old.Lifted != b.Lifted {
-		l.note(e)
+		l.addEvent(e)
 	}
-	l.bound()
+	l.evictBans()
 	return true
 }
 
-// note keeps an event until it is taken.
-func (l *Ledger) note(e Event) {
+// addEvent queues an event for TakeEvents.
+func (l *Ledger) addEvent(e Event) {
 	if len(l.events) < maxEvents {
 		l.events = append(l.events, e)
 	}
 }
 
-// bound drops the oldest bans beyond what is kept. All VMs drop the same.
-func (l *Ledger) bound() {
+// evictBans drops the oldest bans beyond maxBans. All VMs drop the same ones.
+func (l *Ledger) evictBans() {
 	for len(l.bans) > maxBans {
-		var oldest *record
+		var oldest *banRecord
 		for _, b := range l.bans {
 			if oldest == nil || cmp.Or(cmp.Compare(b.At, oldest.At), b.Print.compare(oldest.Print)) < 0 {
 				oldest = b
@@ -121,23 +123,22 @@
 	}
 }
 
-// expire drops bans that hold no more.
-func (l *Ledger) expire(now time.Time) {
+func (l *Ledger) expireBans(now time.Time) {
 	for p, b := range l.bans {
-		if b.until(now) <= 0 {
+		if b.remaining(now) <= 0 {
 			l.dropBan(p)
 		}
 	}
 }
 
 func (l *Ledger) dropBan(p Print) {
-	l.note(Event{Ban: l.bans[p].Ban, Dropped: true})
+	l.addEvent(Event{Ban: l.bans[p].Ban, Dropped: true})
 	delete(l.bans, p)
-	l.forgetHead(p)
+	l.releaseHead(p)
 	l.dropped.Bans++
 }
 
-// TakeEvents returns what was learned of bans since the last call.
+// TakeEvents returns the events since the last call.
 func (l *Ledger) TakeEvents() []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,7 +147,7 @@
 	return list
 }
 
-// Bans returns all bans, those that were lifted included, in order of time.
+// Bans returns all bans, including lifted ones, ordered by time.
 func (l *Ledger) Bans() []Ban {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -162,47 +163,47 @@
 	return list
 }
 
-// Unkept returns the bans that the platform is not known to have and that are older
-// than a given time.
+// Unkept returns the bans older than olderThan that the platform is not known to have
+// stored.
 func (l *Ledger) Unkept(now time.Time, olderThan time.Duration) []Ban {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []Ban
 	for _, b := range l.bans {
-		if !b.kept && now.Sub(time.UnixMilli(b.At)) >= olderThan {
+		if !b.persisted && now.Sub(time.UnixMilli(b.At)) >= olderThan {
 			list = append(list, b.Ban)
 		}
 	}
 	return list
 }
 
-// Recalled takes in the bans that the platform has.
+// Recalled merges bans read from the platform.
 func (l *Ledger) Recalled(now time.Time, list []Ban) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.keep(now, list)
+	l.mergePersisted(now, list)
 }
 
-// Kept takes in that the platform has been given bans, of which the others are told.
+// Kept records that the platform has stored bans, and queues that as news for the other VMs.
 func (l *Ledger) Kept(now time.Time, list []Ban) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.keep(now, list)
-	l.addNews(func(n *News) { n.Kept = append(n.Kept, list...) })
+	l.mergePersisted(now, list)
+	l.queueNews(func(n *News) { n.Kept = append(n.Kept, list...) })
 }
 
-// keep takes in bans that the platform has.
-func (l *Ledger) keep(now time.Time, list []Ban) {
+// mergePersisted merges bans that the platform has stored.
+func (l *Ledger) mergePersisted(now time.Time, list []Ban) {
 	for _, b := range list {
 		l.merge(now, b)
 		if own := l.bans[b.Print]; own != nil && own.Ban == b {
-			own.kept = true
+			own.persisted = true
 		}
 	}
 }
 
-// Digest stands for all bans and for the requests that are tried by themselves: two VMs
-// with the same know the same. 0: there are none.
+// Digest returns a hash of all bans and of the requests that need exclusive trials, by which
+// two VMs compare what they know. It is 0 if there are none.
 func (l *Ledger) Digest() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -215,7 +216,7 @@
 		sum ^= xxhash.Sum64(data)
 	}
 	for p, s := range l.suspects {
-		if l.tally(s.ends).alone() {
+		if l.tally(s.crashes).needsExclusive() {
 			sum ^= xxhash.Sum64(p.Bytes())
 		}
 	}
--- a/core/poison/bench_test.go
+++ b/core/poison/bench_test.go
@@ -7,14 +7,14 @@
 	"auburnlatch/core/poison"
 )
 
-// BenchmarkClean is what every request costs that nothing is held against, beside 1,000
-// bans and 1,000 suspects.
+// BenchmarkClean measures the check of a request that is not suspected, with 1,000 bans and
+// 1,000 suspects.
 func BenchmarkClean(b *testing.B) {
 	l := poison.NewLedger()
 	var bans []poison.Ban
 	for i := range 1000 {
 		bans = append(bans, poison.Ban{Print: printOf(fmt.Sprint("b-", i)), At: at(i).UnixMilli()})
-		endUnder(l, i, fmt.Sprint("i-", i), fmt.Sprint("s-", i))
+		crash(l, i, fmt.Sprint("i-", i), fmt.Sprint("s-", i))
 	}
 	l.Told(at(0), poison.News{Bans: bans})
 	body := make([]byte, 4<<10)
@@ -22,12 +22,12 @@
 	for b.Loop() {
 		req := poison.NewRequest(poison.Content{Method: "GET", Host: "dany74.example", URI: "/xami820/go91/12/4260", Caller: "Bearer k\n12", Body: body})
 		if l.Knows(req.Head()) {
-			b.Fatal("a request that nothing is held against is known")
+			b.Fatal("a request that is neither suspected nor banned is known")
 		}
 	}
 }
 
-// BenchmarkPrint is what a request costs whose body has to be looked at too.
+// BenchmarkPrint measures the print of a request, which covers its body.
 func BenchmarkPrint(b *testing.B) {
 	for _, size := range []int{0, 4 << 10, 1 << 20} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -39,11 +39,11 @@
 	}
 }
 
-// BenchmarkTick is a look at a full Ledger, five times a second.
+// BenchmarkTick measures Tick on a full Ledger, which runs five times a second.
 func BenchmarkTick(b *testing.B) {
 	l := poison.NewLedger()
 	for i := range 4096 {
-		endUnder(l, 200*i, fmt.Sprint("i-", i), fmt.Sprint("s-", i))
+		crash(l, 200*i, fmt.Sprint("i-", i), fmt.Sprint("s-", i))
 	}
 	for b.Loop() {
 		l.Tick(at(1000000))
--- a/core/poison/example_test.go
+++ b/core/poison/example_test.go
@@ -7,7 +7,7 @@
 	"auburnlatch/core/poison"
 )
 
-// A look-up ends three upstreams, one after the other, and is refused the fourth time.
+// A request crashes three upstreams, one after the other, and is rejected the fourth time.
 func Example() {
 	l := poison.NewLedger()
 	req := poison.NewRequest(poison.Content{Method: "GET", Host: "h", URI: "/history/7", Caller: "depot"})
--- a/core/poison/fleet_test.go
+++ b/core/poison/fleet_test.go
@@ -12,18 +12,18 @@
 	"auburnlatch/core/poison"
 )
 
-// A fleet of VMs and upstreams in steps of simulated time: requests that end upstreams
-// come among others, upstreams also end by themselves and in groups, VMs are lost and
-// start anew, news takes time and some is lost. Bounds are those that users ask for.
+// The tests simulate a fleet of VMs and upstreams: poison requests arrive among others,
+// upstreams also crash by themselves and in groups, VMs crash and restart, and news is delayed
+// and partly lost. The bounds are those that users require.
 const (
-	knownWithin = 3 * time.Second // After the third end, when no VM is to send it on.
-	stillSent   = 3               // How often it may be all the same.
+	knownWithin = 3 * time.Second // From the third crash until no VM may forward the request.
+	stillSent   = 3               // How often it may be forwarded after that.
 )
 
-// fleetSeeds is how many plays there are, each from its own seed, the first from 0.
-var fleetSeeds = flag.Uint64("fleet-seeds", 4, "plays of the simulated fleet")
+// fleetSeeds is the number of simulations, with seeds from 0.
+var fleetSeeds = flag.Uint64("fleet-seeds", 4, "number of simulated fleets")
 
-// event is something that happens at a time.
+// event is a function that runs at a time.
 type event struct {
 	at time.Time
 	do func(now time.Time)
@@ -41,7 +41,7 @@
 	return last
 }
 
-// simRun is a run under way.
+// simRun is a run in flight.
 type simRun struct {
 	vm      *simVM
 	name    string
@@ -51,27 +51,26 @@
 	over    bool
 }
 
-// simUpstream is an incarnation.
+// simUpstream is one incarnation of an upstream.
 type simUpstream struct {
-	id    string
-	zone  int
-	down  bool
-	under []*simRun
+	id       string
+	zone     int
+	down     bool
+	inFlight []*simRun
 }
 
-// simVM is a VM.
 type simVM struct {
 	ledger *poison.Ledger
 	down   bool
 }
 
-// fate is what became of a request that comes again and again.
-type fate struct {
-	ends []time.Time
-	sent []time.Time
+// history is when a poison request crashed upstreams and when it was forwarded.
+type history struct {
+	crashes []time.Time
+	sent    []time.Time
 }
 
-// sim is one play.
+// sim is one simulation.
 type sim struct {
 	t         *testing.T
 	rng       *rand.Rand
@@ -80,12 +79,12 @@
 	vms       []*simVM
 	upstreams []*simUpstream
 	started   int
-	killers   map[string]*fate
+	poisonous map[string]*history // Poison requests by name.
 	innocent  int
 	served    int
-	refused   map[string]bool // Innocent requests that were given up.
+	lost      map[string]bool // Innocent requests whose caller gave up.
 	platform  []poison.Ban
-	// answering says that every second run that ends an upstream is answered first.
+	// answering says that every second run that crashes an upstream is answered before.
 	answering bool
 }
 
@@ -93,7 +92,8 @@
 	heap.Push(&s.queue, event{s.now.Add(d), do})
 }
 
-func (s *sim) span(from, to time.Duration) time.Duration {
+// randomBetween returns a random duration.
+func (s *sim) randomBetween(from, to time.Duration) time.Duration {
 	return from + time.Duration(s.rng.Int64N(int64(to-from)))
 }
 
@@ -102,45 +102,45 @@
 	s.upstreams = append(s.upstreams, &simUpstream{id: fmt.Sprint("i-", s.started), zone: zone})
 }
 
-// send has a VM send a request to an upstream.
+// send has a VM forward a request to an upstream.
 func (s *sim) send(vm *simVM, name string, retries int) {
 	if vm.down {
-		s.after(20*time.Millisecond, func(time.Time) { s.again(name, retries+1) }) // Another VM is asked.
+		s.after(20*time.Millisecond, func(time.Time) { s.retry(name, retries+1) }) // The caller tries another VM.
 		return
 	}
 	trial, refused := vm.ledger.Admit(s.now, printOf(name))
 	if refused != nil {
-		if s.killers[name] == nil {
-			s.after(min(refused.RetryAfter, 300*time.Millisecond), func(time.Time) { s.again(name, retries) })
+		if s.poisonous[name] == nil {
+			s.after(min(refused.RetryAfter, 300*time.Millisecond), func(time.Time) { s.retry(name, retries) })
 		}
 		return
 	}
 	u := s.choose(trial.Avoid(s.now))
 	if u == nil {
 		trial.Done()
-		s.after(250*time.Millisecond, func(time.Time) { s.again(name, retries) })
+		s.after(250*time.Millisecond, func(time.Time) { s.retry(name, retries) })
 		return
 	}
 	trial.At(u.id)
 	r := &simRun{vm: vm, name: name, began: s.now, trial: trial, retries: retries}
-	u.under = append(u.under, r)
-	if k := s.killers[name]; k != nil {
-		k.sent = append(k.sent, s.now)
-		s.after(s.span(30*time.Millisecond, 200*time.Millisecond), func(time.Time) {
+	u.inFlight = append(u.inFlight, r)
+	if h := s.poisonous[name]; h != nil {
+		h.sent = append(h.sent, s.now)
+		s.after(s.randomBetween(30*time.Millisecond, 200*time.Millisecond), func(time.Time) {
 			if s.answering && s.rng.IntN(2) == 0 {
 				s.answer(u, r)
 			}
-			s.end(u, name)
+			s.crash(u, name)
 		})
 		return
 	}
-	s.after(s.span(50*time.Millisecond, 400*time.Millisecond), func(time.Time) { s.answer(u, r) })
+	s.after(s.randomBetween(50*time.Millisecond, 400*time.Millisecond), func(time.Time) { s.answer(u, r) })
 }
 
 func (s *sim) choose(avoid []string) *simUpstream {
 	var list []*simUpstream
 	for _, u := range s.upstreams {
-		if !u.down && len(u.under) < 8 && !slices.Contains(avoid, u.id) {
+		if !u.down && len(u.inFlight) < 8 && !slices.Contains(avoid, u.id) {
 			list = append(list, u)
 		}
 	}
@@ -150,8 +150,8 @@
 	return list[s.rng.IntN(len(list))]
 }
 
-// again has the caller come back, at any VM.
-func (s *sim) again(name string, retries int) {
+// retry has the caller send the request again, to any VM.
+func (s *sim) retry(name string, retries int) {
 	if retries <= 0 {
 		s.giveUp(name)
 		return
@@ -160,8 +160,8 @@
 }
 
 func (s *sim) giveUp(name string) {
-	if s.killers[name] == nil {
-		s.refused[name] = true
+	if s.poisonous[name] == nil {
+		s.lost[name] = true
 	}
 }
 
@@ -170,19 +170,19 @@
 		return
 	}
 	r.over = true
-	u.under = slices.DeleteFunc(u.under, func(other *simRun) bool { return other == r })
+	u.inFlight = slices.DeleteFunc(u.inFlight, func(other *simRun) bool { return other == r })
 	r.vm.ledger.Answered(s.now, r.began, u.id)
 	if !r.vm.ledger.Knows(printOf(r.name).Head) {
 		r.vm.ledger.ServedUnsuspected(poison.Run{Target: u.id, Began: r.began, Ended: s.now}, requestOf(r.name))
 	} else if r.vm.ledger.Served(s.now, poison.Run{Print: printOf(r.name), Target: u.id, Began: r.began, Ended: s.now, Alone: r.trial != nil && r.trial.Alone}) {
-		s.after(poison.Outlives, func(time.Time) { s.confirm(r.vm.ledger, u) })
+		s.after(poison.Outlives, func(time.Time) { s.probe(r.vm.ledger, u) })
 	}
 	r.trial.Done()
 	s.served++
 }
 
-// confirm finds out for a VM whether an upstream has ended.
-func (s *sim) confirm(l *poison.Ledger, u *simUpstream) {
+// probe finds out for a VM whether an upstream has crashed.
+func (s *sim) probe(l *poison.Ledger, u *simUpstream) {
 	if u.down {
 		l.Ended(s.now, u.id)
 	} else {
@@ -190,41 +190,42 @@
 	}
 }
 
-// end ends an upstream, of itself (name is empty) or under a request.
-func (s *sim) end(u *simUpstream, name string) {
+// crash crashes an upstream, by itself (name is empty) or because of a request.
+func (s *sim) crash(u *simUpstream, name string) {
 	if u.down {
 		return
 	}
 	u.down = true
-	if k := s.killers[name]; k != nil {
-		k.ends = append(k.ends, s.now)
+	if h := s.poisonous[name]; h != nil {
+		h.crashes = append(h.crashes, s.now)
 	}
-	for _, r := range u.under {
+	for _, r := range u.inFlight {
 		r.over = true
-		s.after(s.span(0, 60*time.Millisecond), func(now time.Time) { s.broke(now, u, r) })
+		s.after(s.randomBetween(0, 60*time.Millisecond), func(now time.Time) { s.loseConnection(now, u, r) })
 	}
-	u.under = nil
-	s.after(s.span(time.Second, 3*time.Second), func(time.Time) { s.addUpstream(u.zone) })
+	u.inFlight = nil
+	s.after(s.randomBetween(time.Second, 3*time.Second), func(time.Time) { s.addUpstream(u.zone) })
 }
 
-// broke tells a VM that a connection ended; it asks, and its caller comes again.
-func (s *sim) broke(now time.Time, u *simUpstream, r *simRun) {
+// loseConnection has a run lose its connection: the VM probes the upstream, and the request is
+// sent again.
+func (s *sim) loseConnection(now time.Time, u *simUpstream, r *simRun) {
 	vm := r.vm
 	if !vm.down {
 		run := poison.Run{Print: printOf(r.name), Target: u.id, Began: r.began, Ended: now, Alone: r.trial != nil && r.trial.Alone}
 		if vm.ledger.Broke(now, run) {
-			s.after(s.span(time.Millisecond, 120*time.Millisecond), func(now time.Time) { vm.ledger.Ended(now, u.id) })
+			s.after(s.randomBetween(time.Millisecond, 120*time.Millisecond), func(now time.Time) { vm.ledger.Ended(now, u.id) })
 		}
 		r.trial.Done()
-		if s.rng.IntN(2) == 0 && r.retries > 0 { // Sent to another upstream by the VM itself.
+		if s.rng.IntN(2) == 0 && r.retries > 0 { // The VM itself sends it to another upstream.
 			s.send(vm, r.name, r.retries-1)
 			return
 		}
 	}
-	s.after(s.span(10*time.Millisecond, 200*time.Millisecond), func(time.Time) { s.again(r.name, r.retries) })
+	s.after(s.randomBetween(10*time.Millisecond, 200*time.Millisecond), func(time.Time) { s.retry(r.name, r.retries) })
 }
 
-// tick is what each VM does every now and then.
+// tick does the periodic work of all VMs.
 func (s *sim) tick() {
 	for _, vm := range s.vms {
 		if vm.down {
@@ -238,7 +239,7 @@
 		news := vm.ledger.TakeNews()
 		for _, to := range s.vms {
 			if to != vm && s.rng.IntN(50) > 0 {
-				s.after(s.span(time.Millisecond, 80*time.Millisecond), func(now time.Time) { to.ledger.Told(now, news) })
+				s.after(s.randomBetween(time.Millisecond, 80*time.Millisecond), func(now time.Time) { to.ledger.Told(now, news) })
 			}
 		}
 		other := s.vms[s.rng.IntN(len(s.vms))]
@@ -250,7 +251,7 @@
 	s.after(25*time.Millisecond, func(time.Time) { s.tick() })
 }
 
-// restart loses a VM; it starts anew with what the platform and another VM know.
+// restart crashes a VM. It restarts with what the platform and another VM know.
 func (s *sim) restart(vm *simVM) {
 	vm.down = true
 	s.after(time.Second, func(now time.Time) {
@@ -260,8 +261,8 @@
 	})
 }
 
-// play runs a minute.
-func (s *sim) play(vms, upstreams, killers int) {
+// run simulates a minute.
+func (s *sim) run(vms, upstreams, poisonous int) {
 	s.now = start
 	for range vms {
 		s.vms = append(s.vms, &simVM{ledger: poison.NewLedger()})
@@ -270,30 +271,30 @@
 		s.addUpstream(i % 6)
 	}
 	s.after(0, func(time.Time) { s.tick() })
-	for k := range killers {
+	for k := range poisonous {
 		name := fmt.Sprint("killer", k)
-		s.killers[name] = &fate{}
-		often := []time.Duration{600 * time.Millisecond, 100 * time.Millisecond, 20 * time.Second}[s.rng.IntN(3)]
-		for at := s.span(5*time.Second, 20*time.Second); at < 50*time.Second; at += s.span(20*time.Millisecond, often) {
-			s.after(at, func(time.Time) { s.again(name, 1+s.rng.IntN(2)) })
+		s.poisonous[name] = &history{}
+		maxPause := []time.Duration{600 * time.Millisecond, 100 * time.Millisecond, 20 * time.Second}[s.rng.IntN(3)]
+		for at := s.randomBetween(5*time.Second, 20*time.Second); at < 50*time.Second; at += s.randomBetween(20*time.Millisecond, maxPause) {
+			s.after(at, func(time.Time) { s.retry(name, 1+s.rng.IntN(2)) })
 		}
 	}
-	for at := time.Duration(0); at < 50*time.Second; at += s.span(time.Millisecond, 12*time.Millisecond) {
+	for at := time.Duration(0); at < 50*time.Second; at += s.randomBetween(time.Millisecond, 12*time.Millisecond) {
 		name := fmt.Sprint("innocent", s.innocent)
 		s.innocent++
-		s.after(at, func(time.Time) { s.again(name, 12) })
+		s.after(at, func(time.Time) { s.retry(name, 12) })
 	}
-	// Ten look-ups that many ask for, the first of them twenty times a second.
-	for at := time.Duration(0); at < 50*time.Second; at += s.span(time.Millisecond, 50*time.Millisecond) {
+	// Ten requests with many callers each, the first of them twenty times a second.
+	for at := time.Duration(0); at < 50*time.Second; at += s.randomBetween(time.Millisecond, 50*time.Millisecond) {
 		s.innocent++
-		s.after(at, func(time.Time) { s.again(fmt.Sprint("popular", max(0, s.rng.IntN(20)-10)), 12) })
+		s.after(at, func(time.Time) { s.retry(fmt.Sprint("popular", max(0, s.rng.IntN(20)-10)), 12) })
 	}
-	for range 8 { // Upstreams that end by themselves, one or a zone's at once.
-		s.after(s.span(0, 50*time.Second), func(time.Time) {
+	for range 8 { // Upstreams that crash by themselves, one or all of a zone.
+		s.after(s.randomBetween(0, 50*time.Second), func(time.Time) {
 			zone, all := s.rng.IntN(6), s.rng.IntN(3) == 0
 			for _, u := range s.upstreams {
 				if u.zone == zone && !u.down {
-					s.end(u, "")
+					s.crash(u, "")
 					if !all {
 						return
 					}
@@ -302,9 +303,9 @@
 		})
 	}
 	for range 4 {
-		s.after(s.span(0, 50*time.Second), func(time.Time) { s.restart(s.vms[s.rng.IntN(len(s.vms))]) })
+		s.after(s.randomBetween(0, 50*time.Second), func(time.Time) { s.restart(s.vms[s.rng.IntN(len(s.vms))]) })
 	}
-	s.after(s.span(25*time.Second, 45*time.Second), func(time.Time) {
+	s.after(s.randomBetween(25*time.Second, 45*time.Second), func(time.Time) {
 		for _, vm := range s.vms {
 			s.restart(vm)
 		}
@@ -318,30 +319,30 @@
 	}
 }
 
-// Some requests end each upstream that begins to run them, and come again at every VM;
-// upstreams also end of themselves and VMs are lost, one and all at once. Each such
-// request has to be stopped, and no other may be banned.
-func TestFleetStopsKillersAndServesTheOthers(t *testing.T) { playFleets(t, false) }
+// Guards against poison requests that are forwarded further, and against bans of others. Poison
+// requests arrive at every VM, upstreams also crash by themselves, and VMs crash, one and all at
+// once.
+func TestFleetBansOnlyPoisonRequests(t *testing.T) { testFleets(t, false) }
 
-// Guards against a request that ends upstreams and is cleared by answers that they gave in
-// that moment.
-func TestFleetStopsKillersThatAreAnswered(t *testing.T) { playFleets(t, true) }
+// Guards against poison requests that are cleared by the responses that upstreams send just
+// before they crash.
+func TestFleetBansAnsweredPoisonRequests(t *testing.T) { testFleets(t, true) }
 
-func playFleets(t *testing.T, answering bool) {
-	worst, ended := 0, 0
+func testFleets(t *testing.T, answering bool) {
+	worst, total := 0, 0
 	for seed := range *fleetSeeds {
-		s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 1)), killers: map[string]*fate{}, refused: map[string]bool{}, answering: answering}
-		s.play(4+int(seed%4)*6, 24, int(seed%4))
-		for name, f := range s.killers {
+		s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 1)), poisonous: map[string]*history{}, lost: map[string]bool{}, answering: answering}
+		s.run(4+int(seed%4)*6, 24, int(seed%4))
+		for name, h := range s.poisonous {
 			late := 0
-			for _, at := range f.sent {
-				if len(f.ends) > 2 && at.After(f.ends[2].Add(knownWithin)) {
+			for _, at := range h.sent {
+				if len(h.crashes) > 2 && at.After(h.crashes[2].Add(knownWithin)) {
 					late++
 				}
 			}
-			worst, ended = max(worst, len(f.ends)), ended+len(f.ends)
+			worst, total = max(worst, len(h.crashes)), total+len(h.crashes)
 			if late > stillSent {
-				t.Errorf("seed %d: %s was sent on %d times later than %v after the third end, %d ended", seed, name, late, knownWithin, len(f.ends))
+				t.Errorf("seed %d: %s was forwarded %d times later than %v after its third crash, it crashed %d upstreams", seed, name, late, knownWithin, len(h.crashes))
 			}
 		}
 		banned := map[poison.Print]bool{}
@@ -358,9 +359,9 @@
 				t.Errorf("seed %d: %s was banned", seed, name)
 			}
 		}
-		if lost := len(s.refused); lost > s.innocent/1000 {
-			t.Errorf("seed %d: %d of %d innocent requests were given up", seed, lost, s.innocent)
+		if lost := len(s.lost); lost > s.innocent/1000 {
+			t.Errorf("seed %d: the callers of %d of %d innocent requests gave up", seed, lost, s.innocent)
 		}
 	}
-	t.Logf("one request ended %d upstreams at the most, all %d", worst, ended)
+	t.Logf("one request crashed at most %d upstreams, all together %d", worst, total)
 }
--- a/core/poison/judge.go
+++ b/core/poison/judge.go
@@ -9,86 +9,89 @@
 type candidate struct {
 	print   Print
 	suspect *suspect
-	held    tally
+	tally   tally
 }
 
-// judge bans the requests that ended upstreams. All are looked at before any is banned:
-// of two that come together the second has to answer for what the first explains too.
-func (l *Ledger) judge(now time.Time) {
-	list := slices.DeleteFunc(l.candidates(now), l.rivaled)
+// evaluate bans the requests that crash upstreams. All candidates are selected before any of
+// them is banned: otherwise, of two poison requests that arrive together, the ban of the first
+// would remove their shared crashes from the evidence against the second.
+func (l *Ledger) evaluate(now time.Time) {
+	list := slices.DeleteFunc(l.candidates(now), l.ambiguous)
 	for _, c := range list {
 		l.ban(now, c)
 	}
 }
 
-// candidates returns the requests with enough ends in a row, a trial by itself among the
-// last, of which all have settled. Of one that was answered by an upstream that lives on
-// only later ends count, also where they would not be cleared. A look-up that many ask for
-// is under way at any upstream that ends, and looks like the cause of all until it is tried.
+// candidates returns the requests with enough consecutive crashes, an exclusive trial among
+// the last, once these have settled. If a request was answered by an upstream that survived,
+// only crashes after the response count, even where it does not clear earlier ones. A
+// popular request is in flight at any upstream that crashes, and looks like the cause of all
+// crashes until it has been tried.
 func (l *Ledger) candidates(now time.Time) []candidate {
 	var list []candidate
 	for p, s := range l.suspects {
-		if now.Sub(s.last) < settleFor {
+		if now.Sub(s.learned) < settleTime {
 			continue
 		}
-		if l.tally(s.endsSince(l.cleared[p].Answered)).proven && !l.answeredSince(p, s.lastEnd()) {
-			list = append(list, candidate{p, s, l.tally(s.ends)})
+		if l.tally(s.crashesSince(l.cleared[p].Answered)).proven && !l.unconfirmedSince(p, s.lastCrash()) {
+			list = append(list, candidate{p, s, l.tally(s.crashes)})
 		}
 	}
 	return list
 }
 
-// ownEnds is how many ends in a row, at upstreams where a rival was not, show that a
-// request ends upstreams without it: one may be chance.
-const ownEnds = 2
+// minOwnCrashes is how many consecutive crashes at upstreams without a rival show that a
+// request crashes upstreams by itself: one may be chance.
+const minOwnCrashes = 2
 
-// rivaled reports whether other requests with as many ends, in all or in a row, may together
-// be the cause of these: none is banned before a trial has told them apart. An innocent one
-// is answered; one that ends upstreams does so at others than its rivals.
-func (l *Ledger) rivaled(c candidate) bool {
+// ambiguous reports whether other requests with as many crashes, in total or consecutive, may
+// together be the cause of those of c. None is banned before a trial has told them apart: an
+// innocent request is answered, and a poison request also crashes upstreams without its
+// rivals.
+func (l *Ledger) ambiguous(c candidate) bool {
 	var rivals []*suspect
 	for p, s := range l.suspects {
-		if p == c.print || len(s.ends) < banAfter {
+		if p == c.print || len(s.crashes) < banThreshold {
 			continue
 		}
-		if t := l.tally(s.ends); t.inRow >= c.held.inRow || t.all >= c.held.all {
+		if t := l.tally(s.crashes); t.consecutive >= c.tally.consecutive || t.total >= c.tally.total {
 			rivals = append(rivals, s)
 		}
 	}
-	own, shared := l.without(c.suspect, rivals)
-	return shared && own < ownEnds
+	own, shared := l.crashesWithout(c.suspect, rivals)
+	return shared && own < minOwnCrashes
 }
 
-// without returns how many ends in a row are left of a request where no rival was under
-// way, and whether they have any end in common.
-func (l *Ledger) without(s *suspect, rivals []*suspect) (own int, shared bool) {
+// crashesWithout returns how many consecutive crashes a request has at upstreams where no
+// rival was in flight, and whether it has any crash in common with a rival.
+func (l *Ledger) crashesWithout(s *suspect, rivals []*suspect) (own int, shared bool) {
 	var rest []Run
-	for _, r := range s.ends {
+	for _, r := range s.crashes {
 		switch {
-		case l.isExplained(r.Target):
-		case slices.ContainsFunc(rivals, func(rival *suspect) bool { return rival.endedUnder(r.Target) }):
+		case l.isAttributed(r.Target):
+		case slices.ContainsFunc(rivals, func(rival *suspect) bool { return rival.crashed(r.Target) }):
 			shared = true
 		default:
 			rest = append(rest, r)
 		}
 	}
-	return l.tally(rest).inRow, shared
+	return l.tally(rest).consecutive, shared
 }
 
-// endedUnder reports whether an upstream ended under the request.
-func (s *suspect) endedUnder(target string) bool {
-	return slices.ContainsFunc(s.ends, func(r Run) bool { return r.Target == target })
+// crashed reports whether an incarnation crashed with the request in flight.
+func (s *suspect) crashed(target string) bool {
+	return slices.ContainsFunc(s.crashes, func(r Run) bool { return r.Target == target })
 }
 
-// ban bans a request, and explains the ends by it.
+// ban bans a request, and attributes its crashes to it.
 func (l *Ledger) ban(now time.Time, c candidate) {
 	at := now.UnixMilli()
 	if b := l.bans[c.print]; b != nil {
 		at = max(at, b.At+1) // It was lifted.
 	}
 	b := Ban{Print: c.print, At: at}
-	seen := c.suspect.seen
-	if l.merge(now, b) && seen {
-		l.addNews(func(n *News) { n.Bans = append(n.Bans, b) })
+	observed := c.suspect.observed
+	if l.merge(now, b) && observed {
+		l.queueNews(func(n *News) { n.Bans = append(n.Bans, b) })
 	}
 }
--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -1,40 +1,41 @@
-// Package poison tells requests that end the upstreams which run them from those that
-// were only under way there, and has the former refused.
+// Package poison identifies poison requests, which crash the upstreams that run them, so that
+// they are rejected. A crash is any end of an upstream's process with requests in flight,
+// whatever the cause.
 //
-// The end of an upstream implicates every request under way there: one may have caused
-// it, the others have to be served. A single end cannot tell them apart, and neither can
-// a single VM: the request comes again under a new ID, at any VM. So each VM notes for
-// each request the runs that ended with their upstream, tells the others, and goes by
-// three rules:
+// A crash implicates every request that was in flight at the upstream: one of them may have
+// caused it, and the others have to be served. A single crash cannot tell them apart, and
+// neither can a single VM: the request is sent again under a new ID, through any VM. So each VM
+// records for each request the runs (attempts at one upstream) during which the upstream
+// crashed, propagates them to the other VMs, and applies three rules:
 //
-//   - An answer from an upstream that goes on to live clears the request of ends from before
-//     that run began, those that are learned later included. Of an upstream that ends in
-//     the moment of its answer, and of other upstreams that end meanwhile, it proves nothing.
-//   - A request that is suspected is sent on as a trial, at an upstream where no other
-//     suspect is, and after two ends in a row one run of it at a time. An innocent one is
-//     answered by the first.
-//   - A request is banned once three of its runs in a row have ended an upstream, the last
-//     of them a trial by itself, and no other request explains these ends as well. What a
-//     ban explains is held against nobody else.
+//   - A response from an upstream that survives it clears the request of crashes from before
+//     that run began, including those that are learned of later. It proves nothing if the
+//     upstream crashes while it responds, nor about other upstreams that crash meanwhile.
+//   - A suspected request is forwarded as a trial, to an upstream with no other suspect in
+//     flight, and after two consecutive crashes as an exclusive trial: one run of it at a
+//     time. An innocent request is answered in its first trial.
+//   - A request is banned once three consecutive runs of it have crashed an upstream, the last
+//     of them an exclusive trial, and no other request explains these crashes as well. Crashes
+//     that are attributed to a banned request do not count against any other.
 //
-// Ends at the same moment count once, since one cause may end several upstreams, such as
+// Crashes at the same moment count once, since one cause may crash several upstreams, such as
 // the loss of an availability zone.
 //
-// A ban is a fact that only grows: VMs exchange their bans and take the union, with no
-// word of an arbiter, and the platform keeps a copy that outlives them. It is what
-// "Eventually Consistent Transactions" (Burckhardt et al.) calls an update that
-// commutes: VMs that were cut off from each other agree as soon as either way is open.
+// Bans are merged as a grow-only set: VMs exchange theirs and take the union, without an arbiter,
+// and the platform stores a copy that outlives the VMs. In the terms of "Eventually Consistent
+// Transactions" (Burckhardt et al.) a ban is an update that commutes: VMs that were partitioned
+// agree as soon as messages pass in either direction.
 //
 // # Usage
 //
 //	l := poison.NewLedger()
 //	trial, refused := l.Admit(now, print)       // Before each run; refused: not sent.
-//	ask := l.Broke(now, run)                    // Its connection ended; ask whether the upstream did.
-//	l.Ended(now, target)                        // It did; NotEnded: it may not have.
-//	ask = l.Served(now, run)                    // It was answered; ask whether the upstream lives on.
+//	probe := l.Broke(now, run)                  // Its connection was lost; probe the upstream.
+//	l.Ended(now, target)                        // It has crashed; NotEnded: it may not have.
+//	probe = l.Served(now, run)                  // It was answered; probe whether the upstream survives.
 //	l.ServedUnsuspected(run, req)               // The same, where l.Knows(head) is false.
 //	trial.Done()
-//	l.Tick(now)                                 // Judges, and forgets what is old.
+//	l.Tick(now)                                 // Decides on bans, and discards what has expired.
 //	send(l.TakeNews()); l.Told(now, received)   // Between VMs.
 package poison
 
@@ -44,83 +45,84 @@
 	"time"
 )
 
-// Bounds of what is remembered, beside those of runs.
+// Bounds of what a Ledger remembers, besides those of runs.
 const (
-	// suspicionFor is how long an end is held against a request that is not seen to be
-	// answered: longer than a caller's program usually waits before it starts anew.
-	suspicionFor = time.Hour
-	// maxSuspects bounds the requests that are suspected, at some 400 bytes each, worked
-	// out: 1.6 MB. All requests under way in a region of 800 upstreams are fewer.
+	// suspicionTTL is how long a crash counts against a request that is not seen to be
+	// answered: longer than a caller's program usually waits before it restarts.
+	suspicionTTL = time.Hour
+	// maxSuspects bounds the suspected requests, some 400 bytes each: 1.6 MB. A region of
+	// 800 upstreams has fewer requests in flight.
 	maxSuspects = 4 << 10
-	// maxExplained bounds the ends that are held against nobody any more.
-	maxExplained = 4 << 10
-	// maxBans bounds the requests that are banned; beyond it the oldest goes. At 100
-	// bytes each all VMs exchange 100 KB at the most, after a cut.
+	// maxAttributed bounds the crashes that are attributed to banned requests.
+	maxAttributed = 4 << 10
+	// maxBans bounds the banned requests; beyond it the oldest is dropped. At 100 bytes
+	// each, all VMs exchange at most 100 KB after a partition.
 	maxBans = 1000
-	// maxAnswered bounds the answers whose upstreams may still turn out to have ended.
-	maxAnswered = 4 << 10
-	// maxNews bounds what is kept to be told.
+	// maxUnconfirmed bounds the responses whose upstreams may still turn out to have
+	// crashed.
+	maxUnconfirmed = 4 << 10
+	// maxNews bounds the news that is queued for other VMs.
 	maxNews = 4 << 10
 )
 
-// Ledger is what one VM knows of requests under which upstreams ended. It is safe for
-// concurrent use.
+// Ledger is what one VM knows of requests that were in flight when upstreams crashed. It is
+// safe for concurrent use.
 type Ledger struct {
 	mu        sync.Mutex
 	upstreams map[string]*upstreamRuns // By incarnation.
 	suspects  map[Print]*suspect
-	trials    map[*Trial]bool // Under way.
-	bans      map[Print]*record
-	heads     map[uint64]int // How many suspects and bans have a head.
-	// explained are incarnations whose end a banned request caused, and when that was
-	// learned.
-	explained map[string]time.Time
-	// answered are runs of suspects whose upstreams are not known yet to have outlived the
-	// answer.
-	answered []Run
-	// unsuspected are runs that were answered in the last moments, of other requests: a
-	// ring once it is full.
+	trials    map[*Trial]bool // In flight.
+	bans      map[Print]*banRecord
+	heads     map[uint64]int // Number of suspects and bans by Print.Head.
+	// attributed are the incarnations that a banned request crashed, and when this VM
+	// learned of it.
+	attributed map[string]time.Time
+	// unconfirmed are answered runs of suspects whose upstreams are not yet known to have
+	// survived the response.
+	unconfirmed []Run
+	// unsuspected are runs of other requests that were answered very recently, a ring
+	// buffer once it is full.
 	unsuspected       []unsuspectedRun
 	oldestUnsuspected int
-	// cleared are the last answers of requests that were suspected.
-	cleared map[Print]Clearance
-	news    News
-	events  []Event
-	dropped Dropped
-	tell    func()        // Called when there is news.
-	turn    Turn          // When this VM may try a suspect by itself.
-	known   bool          // The bans that the platform keeps are known.
-	joined  chan struct{} // Closed when known.
+	// cleared are the latest responses to requests that were suspected.
+	cleared     map[Print]Clearance
+	news        News
+	events      []Event
+	dropped     Dropped
+	notify      func()        // Called when there is news.
+	trialOffset Turn          // When this VM may start an exclusive trial.
+	synced      bool          // The bans that the platform stores have been merged.
+	syncDone    chan struct{} // Closed when synced.
 }
 
-// Dropped counts what a Ledger had to forget for want of room.
+// Dropped counts what a Ledger discarded for lack of room.
 type Dropped struct {
-	// Runs are requests without an answer, Answered those with one that was to clear them,
-	// Upstreams incarnations that may have ended, Suspects requests that were suspected,
-	// Ends those that a ban explains; Bans and News are what they say.
+	// Runs are requests without a response, Answered responses that were to clear
+	// requests, Upstreams incarnations that may have crashed, Suspects suspected requests,
+	// Ends crashes attributed to a ban, Bans bans and News news for other VMs.
 	Runs, Answered, Upstreams, Suspects, Ends, Bans, News int
 }
 
-// Option varies a Ledger.
+// Option configures a Ledger.
 type Option func(*Ledger)
 
-// WithNews has f called, under a lock, whenever TakeNews has something to return.
-func WithNews(f func()) Option { return func(l *Ledger) { l.tell = f } }
+// WithNews has f called, with the lock held, whenever TakeNews has something to return.
+func WithNews(f func()) Option { return func(l *Ledger) { l.notify = f } }
 
-// Turn returns when a VM's turn is to try a request by itself, from 0 to 1, other than that
-// of other VMs.
+// Turn returns when a VM may start an exclusive trial of a request, as a fraction of the time
+// over which the VMs stagger their trials. Each VM has a fraction of its own.
 type Turn func(now time.Time, p Print) float64
 
 // WithTurn has VMs that suspect a request try it one after the other.
-func WithTurn(f Turn) Option { return func(l *Ledger) { l.turn = f } }
+func WithTurn(f Turn) Option { return func(l *Ledger) { l.trialOffset = f } }
 
 // NewLedger returns an empty Ledger.
 func NewLedger(opts ...Option) *Ledger {
 	l := &Ledger{
 		upstreams: make(map[string]*upstreamRuns), suspects: make(map[Print]*suspect), trials: make(map[*Trial]bool),
-		bans: make(map[Print]*record), heads: make(map[uint64]int), explained: make(map[string]time.Time), cleared: make(map[Print]Clearance), tell: func() {},
-		turn:   func(time.Time, Print) float64 { return 0 },
-		joined: make(chan struct{}),
+		bans: make(map[Print]*banRecord), heads: make(map[uint64]int), attributed: make(map[string]time.Time), cleared: make(map[Print]Clearance), notify: func() {},
+		trialOffset: func(time.Time, Print) float64 { return 0 },
+		syncDone:    make(chan struct{}),
 	}
 	for _, opt := range opts {
 		opt(l)
@@ -128,51 +130,52 @@
 	return l
 }
 
-// Knows reports whether anything is remembered of a request with that head. Nearly all
-// requests need no more than this.
+// Knows reports whether a request with that head is suspected or has a ban. For nearly all
+// requests this is the only check needed.
 func (l *Ledger) Knows(head uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.heads[head] > 0
 }
 
-// Tick judges what can be judged, and forgets what is old.
+// Tick bans the requests against which there is enough evidence, and discards what has
+// expired.
 func (l *Ledger) Tick(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.judge(now)
+	l.evaluate(now)
 	for p, s := range l.suspects {
-		if now.Sub(s.last) > suspicionFor {
+		if now.Sub(s.learned) > suspicionTTL {
 			l.clear(p)
 		}
 	}
-	for target, at := range l.explained {
-		if now.Sub(at) > suspicionFor {
-			delete(l.explained, target)
+	for target, at := range l.attributed {
+		if now.Sub(at) > suspicionTTL {
+			delete(l.attributed, target)
 		}
 	}
 	for p, c := range l.cleared {
-		if now.Sub(c.Answered) > suspicionFor {
+		if now.Sub(c.Answered) > suspicionTTL {
 			delete(l.cleared, p)
 		}
 	}
-	l.answered = slices.DeleteFunc(l.answered, func(r Run) bool { return now.Sub(r.Ended) > endMemory })
+	l.unconfirmed = slices.DeleteFunc(l.unconfirmed, func(r Run) bool { return now.Sub(r.Ended) > crashTTL })
 	l.dropUnsuspected(now)
 	for target, u := range l.upstreams {
-		if now.Sub(u.at) > endMemory && !u.asked {
+		if now.Sub(u.lastUsed) > crashTTL && !u.probing {
 			delete(l.upstreams, target)
 		}
 	}
-	l.expire(now)
+	l.expireBans(now)
 }
 
-// Counts says how much a Ledger remembers, and what it had to forget so far.
+// Counts is the number of suspects and of bans in force, and what was discarded so far.
 type Counts struct {
 	Suspects, Bans int
 	Dropped        Dropped
 }
 
-// Counts returns how much is remembered.
+// Counts returns the present counts.
 func (l *Ledger) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/core/poison/ledger_test.go
+++ b/core/poison/ledger_test.go
@@ -9,52 +9,53 @@
 	"auburnlatch/core/verdict"
 )
 
-// Guards against a request that goes on ending upstreams, and against refusing bystanders.
-func TestTheRequestUnderAllEndsIsBanned(t *testing.T) {
+// Guards against a poison request that continues to crash upstreams, and against rejecting the
+// requests that were in flight beside it.
+func TestTheRequestInAllCrashesIsBanned(t *testing.T) {
 	l := poison.NewLedger()
-	endUnder(l, 100, "i-1", "killer", "a", "b")
-	endUnder(l, 300, "i-2", "killer", "b", "c")
-	endUnder(l, 500, "i-3", "killer", "c", "d")
+	crash(l, 100, "i-1", "killer", "a", "b")
+	crash(l, 300, "i-2", "killer", "b", "c")
+	crash(l, 500, "i-3", "killer", "c", "d")
 	if admitted(l, 600, "killer") {
-		t.Error("sent on while it is not judged yet")
+		t.Error("forwarded before the decision on a ban")
 	}
 	l.Tick(at(1000))
 	if !banned(l, 1000, "killer") {
-		t.Error("the request under all three ends is not banned")
+		t.Error("the request in flight at all three crashes is not banned")
 	}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		if trial, refused := l.Admit(at(1000), printOf(name)); refused != nil || trial != nil {
-			t.Errorf("%s, which a ban explains, is suspected still: %v, %v", name, trial, refused)
+			t.Errorf("%s is still suspected of crashes that are attributed to a banned request: %v, %v", name, trial, refused)
 		}
 	}
 }
 
-// Guards against a ban of a look-up for the loss of a zone.
-func TestEndsAtTheSameTimeCountOnce(t *testing.T) {
+// Guards against a ban of a request for the loss of a zone.
+func TestCrashesAtTheSameTimeCountOnce(t *testing.T) {
 	l := poison.NewLedger()
 	for i := range 5 {
-		endUnder(l, 100+i, fmt.Sprint("i-", i), "a")
+		crash(l, 100+i, fmt.Sprint("i-", i), "a")
 	}
 	l.Tick(at(2000))
 	if !admitted(l, 2000, "a") {
-		t.Error("a request under five ends at once is refused")
+		t.Error("a request in flight at five simultaneous crashes is rejected")
 	}
 }
 
-// Guards against refusing a look-up for an outage of its service.
+// Guards against rejecting a request for an outage of its service.
 func TestAnOutageIsNoProof(t *testing.T) {
 	l := poison.NewLedger()
 	for i := range 12 {
-		// Seen by VMs of several regions, up to two trips apart.
-		endUnder(l, 1000+10*i, fmt.Sprint("i-", i), "a")
+		// Seen by VMs of several regions, up to two one-way trips apart.
+		crash(l, 1000+10*i, fmt.Sprint("i-", i), "a")
 	}
 	l.Tick(at(4000))
 	if !admitted(l, 4000, "a") {
-		t.Error("a look-up that was under way at all upstreams when they ended is refused")
+		t.Error("a request in flight at all upstreams when they crashed is rejected")
 	}
 }
 
-// Guards against a ban of a look-up that is under way at every upstream that ends.
+// Guards against a ban of a popular request that is in flight at every upstream that crashes.
 func TestNobodyIsBannedWithoutATrial(t *testing.T) {
 	l := poison.NewLedger()
 	for i := range 5 {
@@ -65,20 +66,21 @@
 	l.Tick(at(3000))
 	trial, refused := l.Admit(at(3000), printOf("popular"))
 	if refused != nil || trial == nil || !trial.Alone {
-		t.Fatalf("after five ends it is not tried by itself: %v, %v", trial, refused)
+		t.Fatalf("no exclusive trial after five crashes: %v, %v", trial, refused)
 	}
-	served(l, 3200, "popular")
+	answerAndSurvive(l, 3200, "popular")
 	trial.Done()
 	if l.Knows(printOf("popular").Head) {
-		t.Error("it was answered, and is suspected still")
+		t.Error("it was answered, and is still suspected")
 	}
 }
 
-// Guards against many trials at once when the upstreams of a burst are back.
+// Guards against many simultaneous trials when the upstreams have restarted after a burst of
+// crashes.
 func TestABurstIsTriedAlone(t *testing.T) {
 	l, other := poison.NewLedger(), poison.NewLedger()
 	for i := range 6 {
-		endUnder(l, 1000+5*i, fmt.Sprint("i-", i), "killer")
+		crash(l, 1000+5*i, fmt.Sprint("i-", i), "killer")
 	}
 	other.Told(at(1100), l.TakeNews())
 	sent := 0
@@ -91,10 +93,10 @@
 		other.Told(at(ms+5), l.TakeNews())
 		sent++
 		if second, _ := l.Admit(at(ms+1), printOf("killer")); second != nil {
-			t.Fatal("a second run is sent on while the first is under way")
+			t.Fatal("a second run is forwarded while the first is in flight")
 		}
 		if second, _ := other.Admit(at(ms+10), printOf("killer")); second != nil {
-			t.Fatal("another VM sends a run on while the first is under way")
+			t.Fatal("another VM forwards a run while the first is in flight")
 		}
 		l.Broke(at(ms+100), poison.Run{Print: printOf("killer"), Target: fmt.Sprint("j-", ms), Began: at(ms), Ended: at(ms + 100), Alone: trial.Alone})
 		l.Ended(at(ms+120), fmt.Sprint("j-", ms))
@@ -102,19 +104,19 @@
 		trial.Done()
 	}
 	if sent > 2 {
-		t.Errorf("tried %d times, want twice at the most", sent)
+		t.Errorf("%d trials, want at most two", sent)
 	}
 }
 
-// Guards against a ban of the wrong one of two requests that always came together.
+// Guards against a ban of the innocent one of two requests that always arrived together.
 func TestTheInnocentOfTwoIsServed(t *testing.T) {
 	l := poison.NewLedger()
 	for i := range 3 {
-		endUnder(l, 200*i+100, fmt.Sprint("i-", i), "killer", "a")
+		crash(l, 200*i+100, fmt.Sprint("i-", i), "killer", "a")
 	}
 	l.Tick(at(2000))
 	if !admitted(l, 2000, "a") || !admitted(l, 2000, "killer") {
-		t.Fatal("one of two requests that explain the same ends was refused without a trial")
+		t.Fatal("one of two requests that explain the same crashes was rejected without a trial")
 	}
 	trial, _ := l.Admit(at(2000), printOf("a"))
 	trial.At("i-9")
@@ -123,68 +125,70 @@
 		t.Errorf("the second suspect may run beside the first: %v", avoid)
 	}
 	if admitted(l, 2000, "a") {
-		t.Error("a second run of a request that is being tried is sent on")
+		t.Error("a second run of a request on trial is forwarded")
 	}
-	served(l, 2200, "a")
+	answerAndSurvive(l, 2200, "a")
 	trial.Done()
 	l.Broke(at(2200), poison.Run{Print: printOf("killer"), Target: "i-8", Began: at(2100), Ended: at(2200), Alone: other.Alone})
 	l.Ended(at(2210), "i-8")
 	other.Done()
 	l.Tick(at(3000))
 	if !banned(l, 3000, "killer") || !admitted(l, 3000, "a") {
-		t.Error("after one was answered and the other ended a fourth upstream, the wrong one is refused")
+		t.Error("the wrong one is rejected after one was answered and the other crashed a fourth upstream")
 	}
 }
 
-// Guards against a bystander that is refused for the ends of two other requests.
-func TestTwoKillers(t *testing.T) {
+// Guards against rejecting a request for the crashes that two poison requests caused.
+func TestTwoPoisonRequests(t *testing.T) {
 	l := poison.NewLedger()
 	for i := range 3 {
 		bystander := []string{"a", "b"}[i%2]
-		endUnder(l, 200*i+100, fmt.Sprint("i-", i), "one", bystander)
+		crash(l, 200*i+100, fmt.Sprint("i-", i), "one", bystander)
 		bystander = []string{"b", "a"}[i%2]
-		endUnder(l, 200*i+150, fmt.Sprint("j-", i), "two", bystander)
+		crash(l, 200*i+150, fmt.Sprint("j-", i), "two", bystander)
 	}
 	l.Tick(at(2000))
 	if !admitted(l, 2000, "a") || !admitted(l, 2000, "b") {
-		t.Fatal("a bystander of both is refused")
+		t.Fatal("a bystander of both is rejected")
 	}
-	served(l, 2100, "a")
-	served(l, 2100, "b")
+	answerAndSurvive(l, 2100, "a")
+	answerAndSurvive(l, 2100, "b")
 	l.Tick(at(2100))
 	if !banned(l, 2000, "one") || !banned(l, 2000, "two") {
-		t.Error("one of two requests that each ended three upstreams is not banned")
+		t.Error("one of two requests that each crashed three upstreams is not banned")
 	}
 	if !admitted(l, 2000, "a") {
-		t.Error("a bystander of both is refused")
+		t.Error("a bystander of both is rejected")
 	}
 }
 
-// Guards against two requests that end upstreams and hide each other.
-func TestKillersThatComeTogether(t *testing.T) {
+// Guards against two poison requests that are never banned because each explains the crashes of
+// the other.
+func TestPoisonRequestsThatArriveTogether(t *testing.T) {
 	l := poison.NewLedger()
 	for i := range 3 {
-		endUnder(l, 200*i+100, fmt.Sprint("i-", i), "one", "two")
+		crash(l, 200*i+100, fmt.Sprint("i-", i), "one", "two")
 	}
 	for i := range 2 {
 		l.Tick(at(1100 + 800*i))
 		if banned(l, 1100+800*i, "one") || banned(l, 1100+800*i, "two") {
-			t.Fatal("one of two is banned that nothing tells apart")
+			t.Fatal("one of two requests with the same crashes is banned")
 		}
-		endUnder(l, 1300+800*i, fmt.Sprint("j-", i), "one")
-		endUnder(l, 1300+800*i, fmt.Sprint("k-", i), "two")
+		crash(l, 1300+800*i, fmt.Sprint("j-", i), "one")
+		crash(l, 1300+800*i, fmt.Sprint("k-", i), "two")
 	}
 	l.Tick(at(3000))
 	if !banned(l, 3000, "one") || !banned(l, 3000, "two") {
-		t.Error("a request that ended five upstreams, two by itself, is not banned")
+		t.Error("a request that crashed five upstreams, two without the other request, is not banned")
 	}
 }
 
-// Guards against memory that grows with the requests, and against forgetting silently.
-func TestWhatIsRememberedIsBounded(t *testing.T) {
+// Guards against memory that grows with the number of requests, and against dropping without a
+// count or an event.
+func TestLedgerIsBounded(t *testing.T) {
 	l := poison.NewLedger()
 	for i := range 6000 {
-		endUnder(l, 200*i, fmt.Sprint("i-", i), fmt.Sprint("r-", i))
+		crash(l, 200*i, fmt.Sprint("i-", i), fmt.Sprint("r-", i))
 	}
 	c := l.Counts()
 	if c.Suspects > 4096 || c.Dropped.Suspects != 6000-c.Suspects {
@@ -199,7 +203,7 @@
 		t.Errorf("1500 bans: %+v", c)
 	}
 	if banned(l, 2000, "b-0") || !banned(l, 2000, "b-1499") {
-		t.Error("not the oldest bans were dropped")
+		t.Error("other bans than the oldest were dropped")
 	}
 	dropped := 0
 	for _, e := range l.TakeEvents() {
@@ -208,7 +212,7 @@
 		}
 	}
 	if dropped != 500 {
-		t.Errorf("%d dropped bans are told of, want 500", dropped)
+		t.Errorf("%d events of dropped bans, want 500", dropped)
 	}
 	later := start.Add(25 * time.Hour)
 	l.Tick(later)
@@ -217,8 +221,8 @@
 	}
 }
 
-// Guards against a refusal that does not say truly when to come back.
-func TestABanIsARefusal(t *testing.T) {
+// Guards against a wrong RetryAfter in the rejection of a banned request.
+func TestBanSaysWhenToRetry(t *testing.T) {
 	l := poison.NewLedger()
 	l.Recalled(at(0), []poison.Ban{{Print: printOf("killer"), At: at(0).UnixMilli()}})
 	_, refused := l.Admit(at(1000), printOf("killer"))
@@ -226,9 +230,9 @@
 		t.Fatalf("a banned request: %v", refused)
 	}
 	if !admitted(l, 1000+int(refused.RetryAfter.Milliseconds()), "killer") {
-		t.Error("it is refused when it was told to come back")
+		t.Error("it is still rejected after RetryAfter")
 	}
 	if len(l.Unkept(at(1000), 0)) != 0 {
-		t.Error("what the platform told has to be kept there")
+		t.Error("a ban read from the platform counts as not stored there")
 	}
 }
--- a/core/poison/news.go
+++ b/core/poison/news.go
@@ -2,61 +2,61 @@
 
 import "time"
 
-// Try is a trial of a request by itself.
+// Try reports the start or the end of an exclusive trial to other VMs.
 type Try struct {
 	Print Print
-	// Target is the ID of the upstream; "": the trial is over, and came to nothing.
+	// Target is the ID of the upstream. It is empty if the trial is over without a result.
 	Target string
 }
 
-// News is what VMs tell each other.
+// News is what VMs propagate to each other.
 type News struct {
-	// Runs are runs that ended with their upstream.
+	// Runs are runs during which the upstream crashed.
 	Runs []Run
-	// Tried are requests that are being tried, of which no other run is to be sent on.
+	// Tried are requests on trial, of which no other run may be forwarded.
 	Tried []Try
 	// Served are suspected requests that were answered.
 	Served []Clearance
 	Bans   []Ban
-	// Kept are bans that the platform has.
+	// Kept are bans that the platform has stored.
 	Kept []Ban
 }
 
-// Empty reports whether there is nothing to tell.
+// Empty reports whether there is no news.
 func (n *News) Empty() bool { return n.size() == 0 }
 
 func (n *News) size() int {
 	return len(n.Runs) + len(n.Tried) + len(n.Served) + len(n.Bans) + len(n.Kept)
 }
 
-// Take removes up to count things and returns them.
+// Take removes up to count elements and returns them.
 func (n *News) Take(count int) News {
 	var out News
-	out.Runs, n.Runs, count = cut(n.Runs, count)
-	out.Tried, n.Tried, count = cut(n.Tried, count)
-	out.Served, n.Served, count = cut(n.Served, count)
-	out.Bans, n.Bans, count = cut(n.Bans, count)
-	out.Kept, n.Kept, _ = cut(n.Kept, count)
+	out.Runs, n.Runs, count = takeUpTo(n.Runs, count)
+	out.Tried, n.Tried, count = takeUpTo(n.Tried, count)
+	out.Served, n.Served, count = takeUpTo(n.Served, count)
+	out.Bans, n.Bans, count = takeUpTo(n.Bans, count)
+	out.Kept, n.Kept, _ = takeUpTo(n.Kept, count)
 	return out
 }
 
-// cut returns the first elements, up to count, the others, and what is left of count.
-func cut[T any](list []T, count int) (first, rest []T, left int) {
+// takeUpTo returns up to count of the first elements, the others, and what remains of count.
+func takeUpTo[T any](list []T, count int) (first, rest []T, remaining int) {
 	k := min(count, len(list))
 	return list[:k], list[k:], count - k
 }
 
-// addNews notes something to be told.
-func (l *Ledger) addNews(add func(*News)) {
+// queueNews adds to the news for other VMs.
+func (l *Ledger) queueNews(add func(*News)) {
 	if l.news.size() >= maxNews {
 		l.dropped.News++
 		return
 	}
 	add(&l.news)
-	l.tell()
+	l.notify()
 }
 
-// TakeNews returns what others have not been told yet.
+// TakeNews returns the news for other VMs since the last call.
 func (l *Ledger) TakeNews() News {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,66 +65,66 @@
 	return n
 }
 
-// Told takes in what another VM tells.
+// Told merges the news of another VM.
 func (l *Ledger) Told(now time.Time, n News) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range n.Runs {
-		l.hold(now, r)
-		l.endedElsewhere(now, r)
+		l.implicate(now, r)
+		l.crashedElsewhere(now, r)
 	}
 	for _, t := range n.Tried {
-		l.toldTried(now, t)
+		l.mergeTrial(now, t)
 	}
 	for _, c := range n.Served {
-		l.clearedBy(now, c)
+		l.applyClearance(now, c)
 	}
 	for _, b := range n.Bans {
 		l.merge(now, b)
 	}
-	l.keep(now, n.Kept)
+	l.mergePersisted(now, n.Kept)
 }
 
-func (l *Ledger) toldTried(now time.Time, t Try) {
+func (l *Ledger) mergeTrial(now time.Time, t Try) {
 	s := l.suspects[t.Print]
 	switch {
 	case s == nil:
 	case t.Target == "":
-		s.triedAt = time.Time{}
+		s.trialAt = time.Time{}
 	default:
-		s.triedAt, s.triedOn = now, t.Target
+		s.trialAt, s.trialTarget = now, t.Target
 	}
 }
 
-// Known reports whether the bans that the platform keeps are known.
+// Known reports whether the Ledger has the bans that the platform stores.
 func (l *Ledger) Known() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.known
+	return l.synced
 }
 
-// Join takes in that they are: the platform, or another VM that knows them, has told them.
+// Join records that it has them, from the platform or from another VM that has them.
 func (l *Ledger) Join() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.known {
-		l.known = true
-		close(l.joined)
+	if !l.synced {
+		l.synced = true
+		close(l.syncDone)
 	}
 }
 
-// Joined returns a channel that is closed once they are.
-func (l *Ledger) Joined() <-chan struct{} { return l.joined }
+// Joined returns a channel that is closed by Join.
+func (l *Ledger) Joined() <-chan struct{} { return l.syncDone }
 
-// All returns all that a VM which has just started should know. Ends that a ban explains
-// are left out: the ban does not say which they are.
+// All returns a snapshot for a VM that has just started. Crashes attributed to a ban are left
+// out, since the receiver could not attribute them: a ban does not list its crashes.
 func (l *Ledger) All() News {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := News{Bans: l.allBans()}
 	for _, s := range l.suspects {
-		for _, r := range s.ends {
-			if len(n.Runs) < maxSuspects && !l.isExplained(r.Target) {
+		for _, r := range s.crashes {
+			if len(n.Runs) < maxSuspects && !l.isAttributed(r.Target) {
 				n.Runs = append(n.Runs, r)
 			}
 		}
--- a/core/poison/news_test.go
+++ b/core/poison/news_test.go
@@ -8,10 +8,10 @@
 	"auburnlatch/core/poison"
 )
 
-// Guards against VMs that judge by the ends which they saw themselves alone.
-func TestVMsTellEachOther(t *testing.T) {
+// Guards against VMs that only count the crashes that they saw themselves.
+func TestVMsPropagateCrashesAndBans(t *testing.T) {
 	vms := []*poison.Ledger{poison.NewLedger(), poison.NewLedger(), poison.NewLedger()}
-	tell := func(ms int) {
+	propagate := func(ms int) {
 		for _, from := range vms {
 			news := from.TakeNews()
 			for _, to := range vms {
@@ -22,8 +22,8 @@
 		}
 	}
 	for i, l := range vms {
-		endUnder(l, 200*i+100, fmt.Sprint("i-", i), "killer", fmt.Sprint("bystander", i))
-		tell(200*i + 130)
+		crash(l, 200*i+100, fmt.Sprint("i-", i), "killer", fmt.Sprint("bystander", i))
+		propagate(200*i + 130)
 	}
 	for i, l := range vms {
 		l.Tick(at(2000))
@@ -31,17 +31,17 @@
 			t.Errorf("VM %d does not ban it", i)
 		}
 	}
-	tell(2000)
+	propagate(2000)
 	for _, l := range vms[1:] {
 		if l.Digest() != vms[0].Digest() {
-			t.Error("VMs that told each other of their bans differ")
+			t.Error("digests differ after the VMs exchanged their bans")
 		}
 	}
-	served(vms[1], 2500, "killer")
-	tell(2500)
+	answerAndSurvive(vms[1], 2500, "killer")
+	propagate(2500)
 	for i, l := range vms {
 		if !admitted(l, 2600, "killer") {
-			t.Errorf("VM %d refuses a request that was answered", i)
+			t.Errorf("VM %d rejects a request that was answered", i)
 		}
 	}
 }
@@ -51,31 +51,31 @@
 	vms := make([]*poison.Ledger, 2)
 	for i := range vms {
 		vms[i] = poison.NewLedger(poison.WithTurn(func(time.Time, poison.Print) float64 { return float64(i) / 2 }))
-		endUnder(vms[i], 1000, "i-1", "killer")
-		endUnder(vms[i], 2000, "i-2", "killer")
+		crash(vms[i], 1000, "i-1", "killer")
+		crash(vms[i], 2000, "i-2", "killer")
 	}
 	trial, refused := vms[0].Admit(at(2100), printOf("killer"))
 	if trial == nil || !trial.Alone || refused != nil {
-		t.Fatalf("the first: %+v, %v; want a trial by itself", trial, refused)
+		t.Fatalf("the first: %+v, %v; want an exclusive trial", trial, refused)
 	}
 	other, refused := vms[1].Admit(at(2100), printOf("killer"))
 	if other != nil || refused == nil || refused.RetryAfter <= 0 || refused.RetryAfter > 2*time.Second {
-		t.Errorf("the second at the same moment: %+v, %v; want a refusal with when to come back", other, refused)
+		t.Errorf("the second at the same moment: %+v, %v; want a rejection with RetryAfter", other, refused)
 	}
 	if other, _ := vms[1].Admit(at(3500), printOf("killer")); other == nil {
-		t.Error("the second has no turn though it heard of no trial")
+		t.Error("the second may not start a trial later, though it learned of no other trial")
 	}
 }
 
-// Guards against a VM that bans an innocent request for ends which, as the others know, a
-// banned one caused.
-func TestVMsThatStartLaterBanNobodyForExplainedEnds(t *testing.T) {
+// Guards against a VM that starts later and bans an innocent request for crashes that the
+// others attribute to a banned one.
+func TestStartingVMBansNobodyForAttributedCrashes(t *testing.T) {
 	l := poison.NewLedger()
 	for i := range 3 {
-		endUnder(l, 300*(i+1), fmt.Sprint("i-", i), "killer")
+		crash(l, 300*(i+1), fmt.Sprint("i-", i), "killer")
 	}
 	runs := []poison.Run{{Print: printOf("killer"), Target: "i-3", Began: at(1100), Ended: at(1200), Alone: true}}
-	for i := range 3 { // Seen by another VM, the last a trial by itself.
+	for i := range 3 { // Seen by another VM, the last an exclusive trial.
 		runs = append(runs, poison.Run{
 			Print: printOf("a"), Target: fmt.Sprint("i-", i), Began: at(300*(i+1) - 100), Ended: at(300 * (i + 1)), Alone: i == 2,
 		})
@@ -83,13 +83,13 @@
 	l.Told(at(1300), poison.News{Runs: runs})
 	l.Tick(at(2000))
 	if !banned(l, 2000, "killer") || banned(l, 2000, "a") {
-		t.Fatal("not the killer alone is banned")
+		t.Fatal("want a ban of the poison request alone")
 	}
 	late := poison.NewLedger()
 	late.Recalled(at(3000), l.Bans())
 	late.Told(at(3000), l.All())
 	late.Tick(at(4000))
 	if banned(late, 4000, "a") {
-		t.Error("the VM that starts later bans the other one too")
+		t.Error("the VM that starts later also bans the innocent request")
 	}
 }
--- a/core/poison/print.go
+++ b/core/poison/print.go
@@ -12,29 +12,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// sumSize is the length of a Print's Sum in bytes: enough that nobody can make up a
-// request with the Print of another's, to have that one refused.
+// sumSize is the length of a Print's Sum in bytes. At this length nobody can forge a request
+// with the Print of another one to have that one rejected.
 const sumSize = 16
 
-// Print recognizes a request that comes again, at whatever VM: it is of what makes the
-// upstream do what it does, and not of what is new with each attempt.
+// Print is the fingerprint by which every VM recognizes a request that is sent again. It covers
+// what determines the upstream's behavior, and nothing that changes with each attempt.
 type Print struct {
-	// Head is a hash of all but the body. It is cheap, and most requests are told from
-	// those that are remembered by it alone.
+	// Head is a hash of everything but the body. It is cheap, and rules out most requests
+	// by itself.
 	Head uint64
-	// Sum is a cryptographic hash of all.
+	// Sum is a cryptographic hash of everything.
 	Sum [sumSize]byte
 }
 
-// Bytes returns the print as it travels.
+// Bytes returns the encoding of the print that VMs exchange.
 func (p Print) Bytes() []byte { return append(binary.BigEndian.AppendUint64(nil, p.Head), p.Sum[:]...) }
 
 func (p Print) compare(other Print) int { return bytes.Compare(p.Bytes(), other.Bytes()) }
 
-// String returns the print as it stands in logs and in the platform's table.
+// String returns the print in hexadecimal, as in logs and in the platform's table.
 func (p Print) String() string { return hex.EncodeToString(p.Bytes()) }
 
-// ParsePrint is the reverse; false: the text is none.
+// ParsePrint parses the result of String. ok is false if the text is not a print.
 func ParsePrint(text string) (p Print, ok bool) {
 	data, err := hex.DecodeString(text)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return PrintOf(data)
 }
 
-// PrintOf is the reverse of Bytes; false: the data is none.
+// PrintOf decodes the result of Bytes. ok is false if the data is not a print.
 func PrintOf(data []byte) (p Print, ok bool) {
 	if len(data) != 8+sumSize {
 		return Print{}, false
@@ -53,17 +53,17 @@
 	return p, true
 }
 
-// Content is what a request is recognized by.
+// Content is what a request's print covers.
 type Content struct {
-	// Method, Host and URI are the request line's; Caller names who sent it.
+	// Method, Host and URI are those of the request; Caller identifies its sender.
 	Method, Host, URI, Caller string
-	// Body is the body as far as it was taken in before it is sent on. Two requests that
-	// differ only beyond that pass for the same. Its length is not asked: the same body
-	// may be announced with one or come in chunks.
+	// Body is the part of the body that is buffered before the request is forwarded. Two
+	// requests that differ only after that have the same print. The declared length is not
+	// covered: the same body may come with a Content-Length or in chunks.
 	Body []byte
 }
 
-// Head returns the hash of all but the body.
+// Head returns the hash of everything but the body.
 func (c *Content) Head() uint64 {
 	h := xxhash.New()
 	c.writeHead(h)
@@ -80,11 +80,11 @@
 	return p
 }
 
-// writeHead writes the fields with their lengths, so that no two lists of fields write
-// the same.
+// writeHead writes each field with its length, so that no two lists of fields have the same
+// encoding.
 func (c *Content) writeHead(h hash.Hash) {
 	for _, field := range [...]string{c.Method, c.Host, c.URI, c.Caller} {
-		// A hash takes whatever it is given.
+		// A hash.Hash never returns an error.
 		_, _ = io.WriteString(h, strconv.Itoa(len(field))+":"+field)
 	}
 }
--- a/core/poison/print_test.go
+++ b/core/poison/print_test.go
@@ -20,19 +20,19 @@
 		other := base
 		change(&other)
 		if other.Print() == base.Print() {
-			t.Errorf("%s: two requests have one print", name)
+			t.Errorf("%s: two requests have the same print", name)
 		}
 	}
 	again := base
 	again.Body = []byte("body")
 	if again.Print() != base.Print() {
-		t.Error("a request that comes again has another print")
+		t.Error("a request that is sent again has another print")
 	}
 	p := base.Print()
 	if parsed, ok := poison.ParsePrint(p.String()); !ok || parsed != p {
 		t.Errorf("%s is parsed as %v, %v", p, parsed, ok)
 	}
 	if p.Head != base.Head() {
-		t.Error("the head of a print is not the head of its request")
+		t.Error("the head of a print differs from the head of its request")
 	}
 }
--- a/core/poison/request.go
+++ b/core/poison/request.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// Request is a request with what it is recognized by, worked out when it is first asked
-// for. It is not safe for concurrent use.
+// Request is a request's identity. Its print is computed on first use. It is not safe for
+// concurrent use.
 type Request struct {
-	// Alone says that the run it is admitted to is a trial by itself.
+	// Alone says that the run that was admitted is an exclusive trial.
 	Alone bool
 
 	content Content
@@ -13,13 +13,13 @@
 	print   *Print
 }
 
-// NewRequest returns a request by its content.
+// NewRequest returns the identity of a request with the given content.
 func NewRequest(c Content) *Request { return &Request{content: c, head: c.Head()} }
 
-// aloneSuffix marks a request as alone where it goes from VM to VM.
+// aloneSuffix marks an exclusive trial in a request that one VM forwards to another.
 const aloneSuffix = ";alone"
 
-// String returns the request as it goes from VM to VM.
+// String returns the encoding that one VM forwards to another.
 func (r *Request) String() string {
 	if r.Alone {
 		return r.Print().String() + aloneSuffix
@@ -27,7 +27,7 @@
 	return r.Print().String()
 }
 
-// ParseRequest is the reverse; false: the text is none.
+// ParseRequest parses the result of String. It returns false if the text is not a request.
 func ParseRequest(text string) (*Request, bool) {
 	text, alone := strings.CutSuffix(text, aloneSuffix)
 	p, ok := ParsePrint(text)
--- a/core/poison/rival_test.go
+++ b/core/poison/rival_test.go
@@ -7,9 +7,9 @@
 	"auburnlatch/core/poison"
 )
 
-// burst has a request end five upstreams within 150 ms, all of its runs begun before the
-// first end. A popular one is under way at each, and is sent once more after each end, the
-// last time by itself.
+// burst returns the runs of a poison request that crashes five upstreams within 150 ms, all of
+// its runs begun before the first crash. A popular request is in flight at each of them, and is
+// sent again after each crash, the last time as an exclusive trial.
 func burst() []poison.Run {
 	var runs []poison.Run
 	for i := range 5 {
@@ -22,48 +22,48 @@
 	return runs
 }
 
-// Guards against a ban of a popular request in place of the one that ended all upstreams of
-// a burst, since only the former has ends in a row.
+// Guards against a ban of a popular request in place of the poison request that caused a burst
+// of crashes, since only the popular one has consecutive crashes.
 func TestPopularRequestIsNotBannedForABurst(t *testing.T) {
 	l := poison.NewLedger()
 	l.Told(at(1200), poison.News{Runs: burst()})
 	l.Tick(at(2000))
 	for _, name := range []string{"popular", "killer"} {
 		if banned(l, 2000, name) {
-			t.Errorf("%s is banned though nothing tells the two apart", name)
+			t.Errorf("%s is banned though both requests have the same crashes", name)
 		}
 	}
 	trial, refused := l.Admit(at(4000), printOf("popular"))
 	if refused != nil || !trial.Alone {
-		t.Fatalf("popular is not tried by itself: %v, %v", trial, refused)
+		t.Fatalf("no exclusive trial of the popular request: %v, %v", trial, refused)
 	}
 	trial.Done()
-	served(l, 4100, "popular")
+	answerAndSurvive(l, 4100, "popular")
 	for i := range 3 {
-		endUnder(l, 5000+3000*i, fmt.Sprint("j-", i), "killer")
+		crash(l, 5000+3000*i, fmt.Sprint("j-", i), "killer")
 	}
 	l.Tick(at(14000))
 	if !banned(l, 14000, "killer") || banned(l, 14000, "popular") {
-		t.Error("not the killer alone is banned after the popular one was answered")
+		t.Error("want a ban of the poison request alone after the popular one was answered")
 	}
 }
 
-// Guards against a ban that rests on ends before an answer, of a request that many send at
-// once.
-func TestNoBanRestsOnEndsBeforeAnAnswer(t *testing.T) {
+// Guards against a ban that is based on crashes before a response, of a request with many
+// simultaneous callers.
+func TestNoBanForCrashesBeforeAnAnswer(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
-		answered int // Milliseconds, of a run that began at 100. The ends are at 300, 600 and 900.
+		answered int // Milliseconds, of a run that began at 100. The crashes are at 300, 600 and 900.
 		banned   bool
 	}{
-		{"answered before the ends", 200, true},
+		{"answered before the crashes", 200, true},
 		{"answered after the first", 500, false},
 		{"answered after all", 1000, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			l, other := poison.NewLedger(), poison.NewLedger()
 			for i := range 3 {
-				endUnder(l, 300*(i+1), fmt.Sprint("i-", i), "a")
+				crash(l, 300*(i+1), fmt.Sprint("i-", i), "a")
 			}
 			l.Served(at(tt.answered), poison.Run{Print: printOf("a"), Target: "lives", Began: at(100), Ended: at(tt.answered)})
 			l.NotEnded(at(1100), "lives", true)
@@ -74,25 +74,25 @@
 					t.Errorf("VM %d: banned: %t, want %t", i, got, tt.banned)
 				}
 				if !l.Knows(printOf("a").Head) {
-					t.Errorf("VM %d suspects nothing, though the ends came after the run began", i)
+					t.Errorf("VM %d has no suspect, though the crashes came after the run began", i)
 				}
 			}
 		})
 	}
 }
 
-// Guards against a ban of a request that many send at once for answers which it got from
-// upstreams that others ended right afterwards.
-func TestAnsweredRunsAreNoEndsInARow(t *testing.T) {
+// Guards against a ban of a request with many simultaneous callers for responses from upstreams
+// that other requests crashed right afterwards.
+func TestAnsweredRunsAreNoConsecutiveCrashes(t *testing.T) {
 	l := poison.NewLedger()
 	for i := range 4 {
 		ms, target := 1000+300*i, fmt.Sprint("i-", i)
 		l.ServedUnsuspected(poison.Run{Target: target, Began: at(ms - 80), Ended: at(ms - 20)}, requestOf("popular"))
-		endUnder(l, ms, target, fmt.Sprint("other-", i))
+		crash(l, ms, target, fmt.Sprint("other-", i))
 	}
 	l.Told(at(2300), poison.News{Runs: []poison.Run{{Print: printOf("popular"), Target: "i-9", Began: at(2150), Ended: at(2250), Cut: true, Alone: true}}})
 	l.Tick(at(3000))
 	if banned(l, 3000, "popular") {
-		t.Error("a request with one end by itself, and answers before four others, is banned")
+		t.Error("a request with one crash in an exclusive trial, and responses before four other crashes, is banned")
 	}
 }
--- a/core/poison/runs.go
+++ b/core/poison/runs.go
@@ -5,41 +5,43 @@
 	"time"
 )
 
-// Bounds of what is remembered of requests that brought no answer.
+// Bounds of what is remembered of requests without a response.
 const (
-	// runMemory is how long a request that brought no answer counts as under way at an
-	// upstream whose end shows later: an end that no connection tells of shows with the
-	// next request there, or when the upstream's registration lapses after three
-	// heartbeats, which is read a second later at the most.
-	runMemory = 8 * time.Second
-	// livesOn is how much later than a run an upstream has to answer another before it
-	// is clear that it outlived the run: what it had sent before its end may arrive
-	// after its other connections ended, on a link that is choked.
-	livesOn = 500 * time.Millisecond
-	// endMemory is how long it is remembered that an upstream ended, for requests that
-	// no connection tells of it: they wait until their time is over.
-	endMemory = 30 * time.Second
-	// maxRunsAt bounds the runs that are remembered of one upstream: some times its slots
-	// and queue. maxUpstreams bounds the upstreams, some times those of a region.
-	maxRunsAt    = 64
-	maxUpstreams = 1024
+	// abandonedTTL is how long an abandoned request counts as in flight at an upstream
+	// whose crash is detected later. A crash that no connection shows is detected by the
+	// next request to the upstream, or when its registration lapses after three heartbeats,
+	// which is read at most a second later.
+	abandonedTTL = 8 * time.Second
+	// survivalMargin is how much later than a run an upstream has to respond to another one
+	// to be known to have survived the run. On a congested link, what it sent before a
+	// crash may arrive after its other connections were lost.
+	survivalMargin = 500 * time.Millisecond
+	// crashTTL is how long a crash is remembered for requests whose connections do not show
+	// it: they wait until their deadline.
+	crashTTL = 30 * time.Second
+	// maxRunsPerUpstream bounds the runs remembered of one upstream: several times its slots
+	// and queue. maxUpstreams bounds the upstreams: several times those of a region.
+	maxRunsPerUpstream = 64
+	maxUpstreams       = 1024
 )
 
-// Run is one request at one upstream, from when it was sent until the connection ended.
+// Run is one attempt of a request at one upstream.
 type Run struct {
 	Print Print
 	// Target is the incarnation of the upstream.
-	Target       string
+	Target string
+	// Began is when the request was sent, Ended when it was answered or abandoned or its
+	// connection was lost.
 	Began, Ended time.Time
-	// Alone says that it was a trial by itself, see Trial.Alone.
+	// Alone says that it was an exclusive trial, see Trial.Alone.
 	Alone bool
-	// Cut says that its connection ended, rather than that it was given up.
+	// Cut says that its connection was lost, rather than that it was abandoned.
 	Cut bool
-	// Answered says that it was answered in the moment of its upstream's end.
+	// Answered says that the upstream crashed right after it responded.
 	Answered bool
 }
 
-// evidence orders runs by how much they say of whether their request ended the upstream.
+// evidence ranks runs by how strongly they suggest that their request crashed the upstream.
 func (r Run) evidence() int {
 	switch {
 	case r.Alone:
@@ -50,27 +52,27 @@
 	return 0
 }
 
-// upstreamRuns is what happened lately at one incarnation of an upstream.
+// upstreamRuns is the recent history of one incarnation of an upstream.
 type upstreamRuns struct {
-	// broken runs ended with their connection; left ones were given up by the VM.
-	broken, left []Run
-	at           time.Time
-	asked        bool // Whether the upstream has ended is being found out.
-	ended        bool
-	// first is the first that this VM saw of its end, once it has ended.
-	first time.Time
+	// broken runs lost their connection; abandoned ones were given up by the VM.
+	broken, abandoned []Run
+	lastUsed          time.Time
+	probing           bool // A probe is to find out whether the upstream has crashed.
+	crashed           bool
+	// crashedAt is when this VM saw the first sign of the crash, if crashed.
+	crashedAt time.Time
 }
 
-// cause reports whether a run may have been the cause of the upstream's end: not what
-// was sent after the first sign of it. Where something stands before an upstream it takes
-// connections also then, and resets them. Each VM judges its own runs, by its own clock.
-func (u *upstreamRuns) cause(r Run) bool { return !r.Began.After(u.first) }
+// mayBeCause reports whether a run may have caused the upstream's crash: not if it was sent
+// after the first sign of the crash. A proxy in front of an upstream accepts connections even
+// then, and resets them. Each VM judges its own runs, by its own clock.
+func (u *upstreamRuns) mayBeCause(r Run) bool { return !r.Began.After(u.crashedAt) }
 
-// firstSign returns the first sign of the upstream's end: the first of its connections
-// that ended and that nothing shows it to have outlived; now where none did.
+// firstSign returns when the first sign of the upstream's crash was seen: the first lost
+// connection that it is not known to have survived, or now if there is none.
 func (u *upstreamRuns) firstSign(now time.Time) time.Time {
 	first := now
-	for _, r := range slices.Concat(u.broken, u.left) {
+	for _, r := range slices.Concat(u.broken, u.abandoned) {
 		if r.Cut && r.Ended.Before(first) {
 			first = r.Ended
 		}
@@ -78,39 +80,39 @@
 	return first
 }
 
-// note keeps a run, and reports whether an older one had to go.
-func note(list []Run, r Run) (_ []Run, dropped bool) {
-	if len(list) >= maxRunsAt {
+// appendRun appends a run, and reports whether it dropped the oldest to make room.
+func appendRun(list []Run, r Run) (_ []Run, dropped bool) {
+	if len(list) >= maxRunsPerUpstream {
 		list, dropped = slices.Delete(list, 0, 1), true
 	}
 	return append(list, r), dropped
 }
 
-// upstream returns what is known of an upstream, forgetting what is too old.
+// upstream returns the history of an upstream without expired runs, and creates it if needed.
 func (l *Ledger) upstream(now time.Time, target string) *upstreamRuns {
 	u := l.upstreams[target]
 	if u == nil {
 		if len(l.upstreams) >= maxUpstreams {
-			l.sweepUpstreams(now)
+			l.evictUpstreams(now)
 		}
 		u = &upstreamRuns{}
 		l.upstreams[target] = u
 	}
-	u.at = now
-	old := func(r Run) bool { return now.Sub(r.Ended) > runMemory }
-	u.left = slices.DeleteFunc(u.left, old)
+	u.lastUsed = now
+	expired := func(r Run) bool { return now.Sub(r.Ended) > abandonedTTL }
+	u.abandoned = slices.DeleteFunc(u.abandoned, expired)
 	return u
 }
 
-// sweepUpstreams makes room: first what is too old, then the oldest.
-func (l *Ledger) sweepUpstreams(now time.Time) {
+// evictUpstreams makes room: it drops the expired upstreams, or else the oldest.
+func (l *Ledger) evictUpstreams(now time.Time) {
 	oldest := ""
 	for target, u := range l.upstreams {
-		if now.Sub(u.at) > endMemory {
+		if now.Sub(u.lastUsed) > crashTTL {
 			delete(l.upstreams, target)
 			continue
 		}
-		if oldest == "" || u.at.Before(l.upstreams[oldest].at) {
+		if oldest == "" || u.lastUsed.Before(l.upstreams[oldest].lastUsed) {
 			oldest = target
 		}
 	}
@@ -120,130 +122,129 @@
 	}
 }
 
-// Broke takes in that a request's connection ended in place of an answer. ask says that
-// it has to be found out whether the upstream itself has ended: a connection may also
-// end by itself, or because the upstream lets one answer go wrong.
-func (l *Ledger) Broke(now time.Time, r Run) (ask bool) {
+// Broke records that a request's connection was lost before a response. probe reports whether
+// the caller has to probe whether the upstream has crashed: a connection may also fail by
+// itself, or because the upstream mishandles a single response.
+func (l *Ledger) Broke(now time.Time, r Run) (probe bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r.Cut = true
 	u := l.upstream(now, r.Target)
-	if u.ended {
-		l.endedLate(now, u, r)
+	if u.crashed {
+		l.implicateLate(now, u, r)
 		return false
 	}
 	var dropped bool
-	u.broken, dropped = note(u.broken, r)
+	u.broken, dropped = appendRun(u.broken, r)
 	if dropped {
 		l.dropped.Runs++
 	}
-	l.unsettled(now, r)
-	ask = !u.asked
-	u.asked = true
-	return ask
+	l.markUnresolved(now, r)
+	probe = !u.probing
+	u.probing = true
+	return probe
 }
 
-// Left takes in that the VM gave a request up before it was answered: its time was
-// over, or its caller left. Should the upstream turn out to have ended, the request may
-// have been the cause.
+// Left records that the VM abandoned a request before a response: its deadline passed, or its
+// caller left. If the upstream turns out to have crashed, the request may have caused it.
 func (l *Ledger) Left(now time.Time, r Run) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	u := l.upstream(now, r.Target)
-	if u.ended {
-		l.endedLate(now, u, r)
+	if u.crashed {
+		l.implicateLate(now, u, r)
 		return
 	}
 	var dropped bool
-	u.left, dropped = note(u.left, r)
+	u.abandoned, dropped = appendRun(u.abandoned, r)
 	if dropped {
 		l.dropped.Runs++
 	}
-	l.unsettled(now, r)
+	l.markUnresolved(now, r)
 }
 
-// Answered takes in that an upstream answered a request that began at a time: it has
-// outlived what was given up well before, and no connection that had ended by then is a
-// sign of its end.
+// Answered records that an upstream responded to a request that was sent at began: it has
+// survived the runs that ended well before now, and no connection that was lost before began
+// is a sign of a crash.
 func (l *Ledger) Answered(now, began time.Time, target string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	u := l.upstreams[target]
-	if u == nil || u.ended {
+	if u == nil || u.crashed {
 		return
 	}
-	outlived := func(r Run) bool { return now.Sub(r.Ended) > livesOn }
-	u.left = slices.DeleteFunc(u.left, outlived)
-	u.broken = slices.DeleteFunc(u.broken, outlived)
-	for _, list := range [][]Run{u.left, u.broken} {
+	survived := func(r Run) bool { return now.Sub(r.Ended) > survivalMargin }
+	u.abandoned = slices.DeleteFunc(u.abandoned, survived)
+	u.broken = slices.DeleteFunc(u.broken, survived)
+	for _, list := range [][]Run{u.abandoned, u.broken} {
 		for i := range list {
 			list[i].Cut = list[i].Cut && !list[i].Ended.Before(began)
 		}
 	}
 }
 
-// Unanswered reports whether runs at an upstream were given up of which is not known
-// whether it outlived them.
+// Unanswered reports whether an upstream has abandoned runs that it is not known to have
+// survived.
 func (l *Ledger) Unanswered(now time.Time, target string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	u := l.upstreams[target]
-	return u != nil && !u.ended && len(l.upstream(now, target).left) > 0
+	return u != nil && !u.crashed && len(l.upstream(now, target).abandoned) > 0
 }
 
-// Ended takes in that an incarnation of an upstream is no more, and returns the runs
-// that were under way at its end, as far as this VM knows them and has not returned
-// them before. Those of which it hears later count as under way too, and so do runs that
-// were answered just before.
+// Ended records that an incarnation of an upstream has crashed. It returns the runs that were
+// in flight at the crash, as far as this VM knows them and has not returned them before. Runs
+// that are reported later also count as in flight, as do runs that were answered just before.
 func (l *Ledger) Ended(now time.Time, target string) []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	u := l.upstream(now, target)
-	if u.ended {
+	if u.crashed {
 		return nil
 	}
-	u.first = u.firstSign(now)
-	runs := slices.Concat(u.broken, u.left, l.takeAnswered(target), l.takeUnsuspected(target, u.first))
-	runs = slices.DeleteFunc(runs, func(r Run) bool { return !u.cause(r) })
-	u.broken, u.left, u.asked, u.ended = nil, nil, false, true
-	l.endedUnder(now, runs)
+	u.crashedAt = u.firstSign(now)
+	runs := slices.Concat(u.broken, u.abandoned, l.takeUnconfirmed(target), l.takeUnsuspected(target, u.crashedAt))
+	runs = slices.DeleteFunc(runs, func(r Run) bool { return !u.mayBeCause(r) })
+	u.broken, u.abandoned, u.probing, u.crashed = nil, nil, false, true
+	l.implicateAll(now, runs)
 	return runs
 }
 
-// endedElsewhere takes in that another VM saw an upstream end under a run: what it answered
-// to this VM just before was under way too. No connection tells this VM of that.
-func (l *Ledger) endedElsewhere(now time.Time, r Run) {
-	if u := l.upstreams[r.Target]; u == nil || !u.ended {
-		l.endedUnder(now, slices.Concat(l.takeAnswered(r.Target), l.takeUnsuspected(r.Target, r.Ended)))
+// crashedElsewhere handles a crash during r that another VM saw: the runs that the upstream
+// answered to this VM just before were in flight too. No connection of this VM shows the
+// crash.
+func (l *Ledger) crashedElsewhere(now time.Time, r Run) {
+	if u := l.upstreams[r.Target]; u == nil || !u.crashed {
+		l.implicateAll(now, slices.Concat(l.takeUnconfirmed(r.Target), l.takeUnsuspected(r.Target, r.Ended)))
 	}
 }
 
-// endedLate takes in a run at an upstream that is known to have ended.
-func (l *Ledger) endedLate(now time.Time, u *upstreamRuns, r Run) {
-	if u.cause(r) {
-		l.endedUnder(now, []Run{r})
+// implicateLate handles a run at an upstream that is already known to have crashed.
+func (l *Ledger) implicateLate(now time.Time, u *upstreamRuns, r Run) {
+	if u.mayBeCause(r) {
+		l.implicateAll(now, []Run{r})
 	}
 }
 
-// NotEnded takes in that the upstream is not known to have ended: somebody keeps
-// connections open at its address (alive), or nobody answers there. What broke off is kept
-// as what was given up, until the upstream answers something: whoever keeps them open may
-// be another that has its address now. Answers clear their requests where it is alive.
+// NotEnded records that a probe did not show a crash: connections are accepted at the
+// upstream's address (alive), or nobody responds there. Broken runs are kept as abandoned until
+// the upstream responds to some request, since another process may accept connections at its
+// address now. If alive, unconfirmed responses clear their requests.
 func (l *Ledger) NotEnded(now time.Time, target string, alive bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if alive {
-		l.outlived(now, target)
+		l.confirmResponses(now, target)
 	}
-	l.takeAnswered(target)
+	l.takeUnconfirmed(target)
 	u := l.upstreams[target]
-	if u == nil || u.ended {
+	if u == nil || u.crashed {
 		return
 	}
 	u = l.upstream(now, target)
 	for _, r := range u.broken {
 		r.Cut = r.Cut && !alive
-		u.left, _ = note(u.left, r)
+		u.abandoned, _ = appendRun(u.abandoned, r)
 	}
-	u.broken, u.asked = nil, false
+	u.broken, u.probing = nil, false
 }
--- a/core/poison/runs_test.go
+++ b/core/poison/runs_test.go
@@ -7,8 +7,8 @@
 	"auburnlatch/core/poison"
 )
 
-// Guards against blaming what was sent to an upstream after its end.
-func TestWhatWasSentAfterTheEndIsNoCause(t *testing.T) {
+// Guards against suspicion of requests that were sent to an upstream after its crash.
+func TestRunsAfterTheCrashAreNoCause(t *testing.T) {
 	l := poison.NewLedger()
 	for i := range 3 {
 		target := fmt.Sprint("i-", i)
@@ -18,29 +18,30 @@
 	}
 	l.Tick(at(5000))
 	if trial, refused := l.Admit(at(5000), printOf("a")); trial != nil || refused != nil {
-		t.Errorf("a request that was sent after each end is suspected: %v, %v", trial, refused)
+		t.Errorf("a request that was sent after each crash is suspected: %v, %v", trial, refused)
 	}
 }
 
-// Guards against suspicion for connections that break off at upstreams that live.
-func TestABrokenConnectionIsNoEnd(t *testing.T) {
+// Guards against suspicion for lost connections to upstreams that have not crashed.
+func TestALostConnectionIsNoCrash(t *testing.T) {
 	l := poison.NewLedger()
 	for i := range 5 {
 		target := fmt.Sprint("i-", i)
 		if !l.Broke(at(200*i), poison.Run{Print: printOf("a"), Target: target, Began: at(200*i - 100), Ended: at(200 * i)}) {
-			t.Fatal("whether the upstream ended is not asked")
+			t.Fatal("no probe of the upstream is asked for")
 		}
 		l.NotEnded(at(200*i+20), target, true)
 		l.Answered(at(200*i+900), at(200*i-50), target)
 		l.Ended(at(200*i+950), target)
 	}
 	if l.Knows(printOf("a").Head) {
-		t.Error("a request is suspected though no upstream ended")
+		t.Error("a request is suspected though no upstream crashed")
 	}
 }
 
-// Guards against a cause that is never suspected since its callers leave first.
-func TestARequestThatWasGivenUpIsImplicated(t *testing.T) {
+// Guards against a poison request that is never suspected since its callers cancel it before
+// the crash.
+func TestAnAbandonedRequestIsImplicated(t *testing.T) {
 	l := poison.NewLedger()
 	for i := range 3 {
 		target := fmt.Sprint("i-", i)
@@ -50,29 +51,29 @@
 		})
 		trial.Done()
 		if runs := l.Ended(at(1000*i+600), target); len(runs) != 1 {
-			t.Fatalf("%d runs were under way at the end, want 1", len(runs))
+			t.Fatalf("%d runs were in flight at the crash, want 1", len(runs))
 		}
 	}
 	l.Tick(at(4000))
 	if !banned(l, 4000, "killer") {
-		t.Error("a request whose callers always leave first is not banned")
+		t.Error("a request that its callers always cancel before the crash is not banned")
 	}
 }
 
-// Guards against blaming a request for an end long after it was given up.
-func TestAnUpstreamThatLivesOnClears(t *testing.T) {
+// Guards against suspicion of a request for a crash long after it was abandoned.
+func TestASurvivingUpstreamClears(t *testing.T) {
 	l := poison.NewLedger()
 	l.Left(at(100), poison.Run{Print: printOf("a"), Target: "i-1", Began: at(0), Ended: at(100)})
 	l.Left(at(1300), poison.Run{Print: printOf("b"), Target: "i-1", Began: at(900), Ended: at(1300)})
 	l.Answered(at(1400), at(50), "i-1")
 	if runs := l.Ended(at(1500), "i-1"); len(runs) != 1 || runs[0].Print != printOf("b") {
-		t.Errorf("%d runs were under way at the end, want the last alone", len(runs))
+		t.Errorf("%d runs were in flight at the crash, want only the last", len(runs))
 	}
 }
 
-// Guards against a lost answer that is taken for the first sign of the end.
-func TestALostAnswerIsNoSignOfTheEnd(t *testing.T) {
-	for name, lives := range map[string]func(l *poison.Ledger, ms int, target string){
+// Guards against a lost response that counts as the first sign of a crash.
+func TestALostResponseIsNoSignOfACrash(t *testing.T) {
+	for name, survives := range map[string]func(l *poison.Ledger, ms int, target string){
 		"it answers another late":    func(l *poison.Ledger, ms int, target string) { l.Answered(at(ms+550), at(ms-50), target) },
 		"it answers a later one":     func(l *poison.Ledger, ms int, target string) { l.Answered(at(ms+10), at(ms), target) },
 		"it keeps a connection open": func(l *poison.Ledger, ms int, target string) { l.NotEnded(at(ms), target, true) },
@@ -81,18 +82,18 @@
 		for i := range 3 {
 			ms, target := 1000*i, fmt.Sprint("i-", i)
 			l.Broke(at(ms+50), poison.Run{Print: printOf(fmt.Sprint("lost-", i)), Target: target, Began: at(ms), Ended: at(ms + 50)})
-			lives(l, ms+80, target)
-			endUnder(l, ms+700, target, "killer")
+			survives(l, ms+80, target)
+			crash(l, ms+700, target, "killer")
 		}
 		l.Tick(at(5000))
 		if !banned(l, 5000, "killer") {
-			t.Errorf("%s: what ends upstreams that lost an answer before is not banned", name)
+			t.Errorf("%s: a request is not banned that crashes upstreams which lost a response before", name)
 		}
 	}
 }
 
-// Guards against a later run at an upstream that hides the one which ended it.
-func TestTheRunBeforeTheEndCounts(t *testing.T) {
+// Guards against a later run at an upstream that replaces the one which crashed it.
+func TestTheRunBeforeTheCrashCounts(t *testing.T) {
 	l := poison.NewLedger()
 	for i := range 3 {
 		ms, target := 1000*i, fmt.Sprint("i-", i)
@@ -105,6 +106,6 @@
 	}
 	l.Tick(at(5000))
 	if !banned(l, 5000, "killer") {
-		t.Error("a request that was sent once more after each end is not banned")
+		t.Error("a request that was sent again after each crash is not banned")
 	}
 }
--- a/core/poison/suspect.go
+++ b/core/poison/suspect.go
@@ -8,166 +8,169 @@
 )
 
 const (
-	// banAfter is how many runs in a row have to end their upstream: as few as can
-	// rule out chance. Of requests under way at a moment in which a tenth of a service's
-	// upstreams end by themselves one in a thousand sees three such ends in a row.
-	banAfter = 3
-	// aloneAfter is how many ends in a row have a request tried one run at a time, and
-	// not beside another suspect; so do aloneEnds at any time. After one most are
-	// innocent: of a look-up that many ask for at once all but one run would be refused
-	// until the first is answered.
-	aloneAfter = 2
-	aloneEnds  = 3
-	// apart is how much later than another an end has to be seen to be one in a row
-	// though the runs overlap. Upstreams that end together, as by one fault, are seen to
-	// end at most two trips between regions apart, 0.11 s.
-	apart = 200 * time.Millisecond
-	// tryFor is how long a trial holds others back, wherever it runs, until what came of
-	// it is known: an answer clears the request, an end counts. Where something stands
-	// before an upstream only its register tells of the end, a second or two later.
-	tryFor = 2 * time.Second
-	// settleFor is how long after the last of them is waited before a request is judged,
-	// so that what other VMs saw has arrived: a question at the upstream's address and a
-	// datagram, each once across regions, 0.17 s. The request is refused meanwhile.
-	settleFor = 400 * time.Millisecond
-	// turnsFor is the time over which the VMs' turns for a trial are spread, from when the
-	// last one came to an end. Requests that come to two VMs at the same moment would else
-	// be tried at both, before either has heard of the other's: a message between regions
-	// takes 0.06 s, and twelve VMs' turns are twice that apart.
-	turnsFor = 1600 * time.Millisecond
-	// trialWait is when a request should come back that is being tried already: about
-	// what an answer takes.
-	trialWait = 250 * time.Millisecond
-	// maxHeld bounds the ends that are held against one request. More than banAfter are
-	// needed only where two requests always come together.
-	maxHeld = 16
+	// banThreshold is how many consecutive runs have to crash their upstream before a ban:
+	// the fewest that rule out chance. Of the requests in flight while a tenth of a
+	// service's upstreams crash by themselves, one in a thousand sees three such crashes in
+	// a row.
+	banThreshold = 3
+	// exclusiveAfter is how many consecutive crashes restrict a request to exclusive trials,
+	// and exclusiveAfterTotal how many in all. After a single crash most suspects are
+	// innocent: of a popular request, all runs but one would be rejected until the first is
+	// answered.
+	exclusiveAfter      = 2
+	exclusiveAfterTotal = 3
+	// minCrashGap is how much later than another a crash has to be seen to be consecutive
+	// if the runs overlap. Upstreams that crash together, as by one fault, are seen to
+	// crash at most two one-way trips between regions apart, 0.11 s.
+	minCrashGap = 200 * time.Millisecond
+	// trialTimeout is how long an exclusive trial blocks others, at every VM, until its
+	// result is known: a response clears the request, a crash counts. With a proxy in front
+	// of an upstream only its registration shows the crash, a second or two later.
+	trialTimeout = 2 * time.Second
+	// settleTime is the wait between the last crash of a request and the decision on a ban,
+	// so that what other VMs saw has arrived: a probe of the upstream's address and a
+	// datagram, each once across regions, 0.17 s. The request is rejected meanwhile.
+	settleTime = 400 * time.Millisecond
+	// staggerWindow is the time after the last trial over which VMs stagger the next one.
+	// Otherwise a request that arrives at two VMs at the same moment would be tried by both
+	// before either learns of the other's trial: a message between regions takes 0.06 s, and
+	// the trials of twelve VMs are twice that apart.
+	staggerWindow = 1600 * time.Millisecond
+	// trialRetryAfter is when to retry a request that is already on trial: about the time
+	// that a response takes.
+	trialRetryAfter = 250 * time.Millisecond
+	// maxCrashes bounds the crashes that are kept of one request. More than banThreshold
+	// are needed only if two requests always arrive together.
+	maxCrashes = 16
 )
 
-// suspect is a request under which upstreams ended.
+// suspect is a request that was in flight when upstreams crashed.
 type suspect struct {
-	// ends are its runs that ended with their upstream, by when they ended, one for
+	// crashes are its runs during which the upstream crashed, ordered by Run.Ended, one for
 	// each incarnation.
-	ends []Run
-	last time.Time // When the newest of them was learned.
-	// seen says that this VM saw one of them itself. Those few tell of the ban; the
-	// others judge by what they were told, and would only say it once more.
-	seen bool
-	// triedAt is when the request was last tried by itself, zero where it is known what
-	// came of it, and triedOn the ID of the upstream.
-	triedAt time.Time
-	triedOn string
+	crashes []Run
+	learned time.Time // When this VM learned of the latest of them.
+	// observed says that this VM saw one of them itself. Only such VMs, which are few,
+	// propagate the ban; the others decide by the same news and would only repeat it.
+	observed bool
+	// trialAt is when the request was last on an exclusive trial, or zero if the result is
+	// known. trialTarget is the ID of the upstream.
+	trialAt     time.Time
+	trialTarget string
 }
 
-// lastEnd returns when the last of the ends came, zero where there is none.
-func (s *suspect) lastEnd() time.Time {
-	if len(s.ends) == 0 {
+// lastCrash returns the time of the last crash, or zero if there is none.
+func (s *suspect) lastCrash() time.Time {
+	if len(s.crashes) == 0 {
 		return time.Time{}
 	}
-	return s.ends[len(s.ends)-1].Ended
+	return s.crashes[len(s.crashes)-1].Ended
 }
 
-// endsSince returns the ends that came after a time.
-func (s *suspect) endsSince(t time.Time) []Run {
-	i := slices.IndexFunc(s.ends, func(r Run) bool { return r.Ended.After(t) })
+// crashesSince returns the crashes after t.
+func (s *suspect) crashesSince(t time.Time) []Run {
+	i := slices.IndexFunc(s.crashes, func(r Run) bool { return r.Ended.After(t) })
 	if i < 0 {
 		return nil
 	}
-	return s.ends[i:]
+	return s.crashes[i:]
 }
 
-// tally is what the ends come to that no ban explains.
+// tally counts the crashes that are not attributed to a ban.
 type tally struct {
-	all int
-	// inRow is how many are in a row: each run was begun after the one before had
-	// ended, or its upstream ended well after that one's. Answered runs count only as
-	// trials by themselves: many callers of one request have it answered at any time.
-	inRow int
-	// proven says that a trial by itself was among the last of enough to ban it.
+	total int
+	// consecutive counts crashes whose run began after the previous crash, or that came
+	// minCrashGap or more after it. Answered runs count only if they were exclusive trials:
+	// with many callers, a request is answered at any time.
+	consecutive int
+	// proven says that there are enough consecutive crashes for a ban, and that an
+	// exclusive trial was among the last.
 	proven bool
 }
 
-// alone reports whether the request is to be tried one run at a time.
-func (t tally) alone() bool { return t.inRow >= aloneAfter || t.all >= aloneEnds }
+// needsExclusive reports whether the request is restricted to exclusive trials.
+func (t tally) needsExclusive() bool {
+	return t.consecutive >= exclusiveAfter || t.total >= exclusiveAfterTotal
+}
 
-// tally counts ends, which are in the order of their time.
-func (l *Ledger) tally(ends []Run) (t tally) {
+// tally counts crashes, which are ordered by time.
+func (l *Ledger) tally(crashes []Run) (t tally) {
 	var last time.Time
-	for _, r := range ends {
-		if l.isExplained(r.Target) {
+	for _, r := range crashes {
+		if l.isAttributed(r.Target) {
 			continue
 		}
-		t.all++
+		t.total++
 		if r.evidence() == 0 {
 			continue
 		}
-		if !r.Began.Before(last) || r.Ended.Sub(last) >= apart {
-			t.inRow++
+		if !r.Began.Before(last) || r.Ended.Sub(last) >= minCrashGap {
+			t.consecutive++
 			last = r.Ended
 		}
-		t.proven = t.proven || t.inRow >= banAfter && r.Alone
+		t.proven = t.proven || t.consecutive >= banThreshold && r.Alone
 	}
 	return t
 }
 
-// Trial is a run of a request that is suspected. A nil Trial is one of a request that
-// is not.
+// Trial is a run of a suspected request. It is nil for a request that is not suspected.
 type Trial struct {
 	ledger *Ledger
 	print  Print
-	target string // The ID of its upstream, "" before it is known.
-	// open says that it brought no answer, and that it is not known yet whether its
-	// upstream ended.
-	open bool
-	// Alone says that it is the only run of its request under way, and has to be at an
-	// upstream where no other trial is; else it only had better not.
+	target string // The ID of its upstream, empty until it is known.
+	// unresolved says that there was no response, and that it is not yet known whether the
+	// upstream crashed.
+	unresolved bool
+	// Alone says that the trial is exclusive: it is the only run of its request in flight,
+	// and must run at an upstream without another trial. Other trials only prefer one.
 	Alone bool
 }
 
-// Admit decides whether a request may be sent to an upstream now. It returns an error
-// with the verdict NotRun where it may not.
+// Admit decides whether a request may be sent to an upstream now. If not, it returns an error
+// with the verdict NotRun.
 func (l *Ledger) Admit(now time.Time, p Print) (*Trial, *verdict.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if b := l.active(now, p); b != nil {
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonQuarantined, b.until(now))
+	if b := l.activeBan(now, p); b != nil {
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonQuarantined, b.remaining(now))
 	}
 	s := l.suspects[p]
 	if s == nil {
 		return nil, nil
 	}
-	held := l.tally(s.ends)
+	count := l.tally(s.crashes)
 	switch {
-	case held.all == 0:
+	case count.total == 0:
 		return nil, nil
-	case held.alone() && l.tried(now, p, s):
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonQuarantined, trialWait)
-	case held.alone() && now.Before(l.turnOf(now, p, s)):
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonQuarantined, l.turnOf(now, p, s).Sub(now))
-	case held.inRow >= banAfter && now.Sub(s.last) < settleFor:
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonQuarantined, settleFor-now.Sub(s.last))
-	case held.inRow >= banAfter:
-		l.judge(now)
-		if b := l.active(now, p); b != nil {
-			return nil, verdict.New(verdict.NotRun, verdict.ReasonQuarantined, b.until(now))
+	case count.needsExclusive() && l.onTrial(now, p, s):
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonQuarantined, trialRetryAfter)
+	case count.needsExclusive() && now.Before(l.nextTrial(now, p, s)):
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonQuarantined, l.nextTrial(now, p, s).Sub(now))
+	case count.consecutive >= banThreshold && now.Sub(s.learned) < settleTime:
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonQuarantined, settleTime-now.Sub(s.learned))
+	case count.consecutive >= banThreshold:
+		l.evaluate(now)
+		if b := l.activeBan(now, p); b != nil {
+			return nil, verdict.New(verdict.NotRun, verdict.ReasonQuarantined, b.remaining(now))
 		}
 	}
-	t := &Trial{ledger: l, print: p, Alone: held.alone()}
+	t := &Trial{ledger: l, print: p, Alone: count.needsExclusive()}
 	l.trials[t] = true
 	return t, nil
 }
 
-// turnOf returns when this VM may try a suspect by itself.
-func (l *Ledger) turnOf(now time.Time, p Print, s *suspect) time.Time {
-	from := s.last
-	if over := s.triedAt.Add(tryFor); !s.triedAt.IsZero() && over.After(from) {
+// nextTrial returns when this VM may start an exclusive trial of a suspect.
+func (l *Ledger) nextTrial(now time.Time, p Print, s *suspect) time.Time {
+	from := s.learned
+	if over := s.trialAt.Add(trialTimeout); !s.trialAt.IsZero() && over.After(from) {
 		from = over
 	}
-	return from.Add(time.Duration(l.turn(now, p) * float64(turnsFor)))
+	return from.Add(time.Duration(l.trialOffset(now, p) * float64(staggerWindow)))
 }
 
-// tried reports whether a request is being tried, here or by another VM.
-func (l *Ledger) tried(now time.Time, p Print, s *suspect) bool {
-	if s.triedLately(now) {
+// onTrial reports whether a request is on trial, at this VM or another.
+func (l *Ledger) onTrial(now time.Time, p Print, s *suspect) bool {
+	if s.awaitsResult(now) {
 		return true
 	}
 	for t := range l.trials {
@@ -178,12 +181,12 @@
 	return false
 }
 
-// triedLately reports whether it is not known yet what came of the last trial by itself.
-func (s *suspect) triedLately(now time.Time) bool {
-	return !s.triedAt.IsZero() && now.Sub(s.triedAt) < tryFor
+// awaitsResult reports whether the result of the last exclusive trial is not yet known.
+func (s *suspect) awaitsResult(now time.Time) bool {
+	return !s.trialAt.IsZero() && now.Sub(s.trialAt) < trialTimeout
 }
 
-// Avoid returns the IDs of the upstreams at which other suspects are under way.
+// Avoid returns the IDs of the upstreams at which other suspects are in flight.
 func (t *Trial) Avoid(now time.Time) []string {
 	if t == nil {
 		return nil
@@ -197,14 +200,14 @@
 		}
 	}
 	for p, s := range t.ledger.suspects {
-		if p != t.print && s.triedLately(now) {
-			ids = append(ids, s.triedOn)
+		if p != t.print && s.awaitsResult(now) {
+			ids = append(ids, s.trialTarget)
 		}
 	}
 	return ids
 }
 
-// At tells at which upstream the trial runs, by its ID.
+// At sets the ID of the upstream at which the trial runs.
 func (t *Trial) At(target string) {
 	if t == nil {
 		return
@@ -213,18 +216,18 @@
 	defer t.ledger.mu.Unlock()
 	t.target = target
 	if s := t.ledger.suspects[t.print]; s != nil && t.Alone {
-		s.triedOn = target
-		t.tell(target)
+		s.trialTarget = target
+		t.announce(target)
 	}
 }
 
-// tell tells other VMs at which upstream the trial runs; "": it is over, and came to
-// nothing.
-func (t *Trial) tell(target string) {
-	t.ledger.addNews(func(n *News) { n.Tried = append(n.Tried, Try{t.print, target}) })
+// announce reports to other VMs at which upstream the trial runs, or with an empty target that
+// it is over without a result.
+func (t *Trial) announce(target string) {
+	t.ledger.queueNews(func(n *News) { n.Tried = append(n.Tried, Try{t.print, target}) })
 }
 
-// Done ends the trial, after what came of it has been told.
+// Done ends the trial. Its result has to be recorded before.
 func (t *Trial) Done() {
 	if t == nil {
 		return
@@ -232,40 +235,40 @@
 	t.ledger.mu.Lock()
 	defer t.ledger.mu.Unlock()
 	delete(t.ledger.trials, t)
-	if t.Alone && t.target != "" && !t.open {
-		t.tell("")
+	if t.Alone && t.target != "" && !t.unresolved {
+		t.announce("")
 	}
 }
 
-// clear forgets what was held against a request.
+// clear removes a request from the suspects.
 func (l *Ledger) clear(p Print) {
 	if l.suspects[p] != nil {
 		delete(l.suspects, p)
-		l.forgetHead(p)
+		l.releaseHead(p)
 	}
 }
 
-// suspect returns what is held against a request, making room where it is new.
+// suspect returns the suspect of a request, creating it and making room for it if needed.
 func (l *Ledger) suspect(now time.Time, p Print) *suspect {
 	s := l.suspects[p]
 	if s != nil {
 		return s
 	}
 	if len(l.suspects) >= maxSuspects {
-		l.dropSuspect()
+		l.evictSuspect()
 	}
-	s = &suspect{last: now}
+	s = &suspect{learned: now}
 	l.suspects[p] = s
 	l.heads[p.Head]++
 	return s
 }
 
-// dropSuspect forgets the request that was suspected longest ago.
-func (l *Ledger) dropSuspect() {
+// evictSuspect drops the suspect whose latest crash was learned of longest ago.
+func (l *Ledger) evictSuspect() {
 	var oldest Print
 	var found *suspect
 	for p, s := range l.suspects {
-		if found == nil || s.last.Before(found.last) {
+		if found == nil || s.learned.Before(found.learned) {
 			oldest, found = p, s
 		}
 	}
@@ -273,74 +276,74 @@
 	l.clear(oldest)
 }
 
-func (l *Ledger) forgetHead(p Print) {
+func (l *Ledger) releaseHead(p Print) {
 	if l.heads[p.Head]--; l.heads[p.Head] <= 0 {
 		delete(l.heads, p.Head)
 	}
 }
 
-// endedUnder takes in that an upstream ended under runs of this VM.
-func (l *Ledger) endedUnder(now time.Time, runs []Run) {
+// implicateAll records that an upstream crashed during runs of this VM.
+func (l *Ledger) implicateAll(now time.Time, runs []Run) {
 	for _, r := range runs {
-		l.hold(now, r)
+		l.implicate(now, r)
 		if s := l.suspects[r.Print]; s != nil {
-			s.seen = true
+			s.observed = true
 		}
-		l.addNews(func(n *News) { n.Runs = append(n.Runs, r) })
+		l.queueNews(func(n *News) { n.Runs = append(n.Runs, r) })
 	}
 }
 
-// unsettled notes that a trial by itself brought no answer, and that it is not known yet
-// whether its upstream ended.
-func (l *Ledger) unsettled(now time.Time, r Run) {
+// markUnresolved records that an exclusive trial had no response, and that it is not yet known
+// whether its upstream crashed.
+func (l *Ledger) markUnresolved(now time.Time, r Run) {
 	s := l.suspects[r.Print]
 	if s == nil || !r.Alone {
 		return
 	}
-	s.triedAt = now
+	s.trialAt = now
 	for t := range l.trials {
 		if t.print == r.Print && t.Alone {
-			t.open = true
-			t.tell(t.target)
+			t.unresolved = true
+			t.announce(t.target)
 		}
 	}
 }
 
-// hold holds an end against a request, unless a later run cleared it: an end may show
-// seconds later, where something takes connections for upstreams that have ended.
-func (l *Ledger) hold(now time.Time, r Run) {
+// implicate counts a crash against the request of a run, unless a later run cleared it: a crash
+// may show only seconds later if a proxy accepts connections for crashed upstreams.
+func (l *Ledger) implicate(now time.Time, r Run) {
 	if c, ok := l.cleared[r.Print]; ok && !r.Ended.After(c.Began) {
 		return
 	}
-	if l.active(now, r.Print) != nil {
-		l.explain(now, r.Target)
+	if l.activeBan(now, r.Print) != nil {
+		l.attribute(now, r.Target)
 		return
 	}
 	s := l.suspect(now, r.Print)
-	if i := slices.IndexFunc(s.ends, func(old Run) bool { return old.Target == r.Target }); i >= 0 {
-		if s.ends[i].evidence() >= r.evidence() {
+	if i := slices.IndexFunc(s.crashes, func(old Run) bool { return old.Target == r.Target }); i >= 0 {
+		if s.crashes[i].evidence() >= r.evidence() {
 			return
 		}
-		s.ends = slices.Delete(s.ends, i, i+1)
+		s.crashes = slices.Delete(s.crashes, i, i+1)
 	}
-	at, _ := slices.BinarySearchFunc(s.ends, r, func(a, b Run) int { return a.Ended.Compare(b.Ended) })
-	s.ends = slices.Insert(s.ends, at, r)
-	if len(s.ends) > maxHeld {
-		s.ends = slices.Delete(s.ends, 0, 1)
+	at, _ := slices.BinarySearchFunc(s.crashes, r, func(a, b Run) int { return a.Ended.Compare(b.Ended) })
+	s.crashes = slices.Insert(s.crashes, at, r)
+	if len(s.crashes) > maxCrashes {
+		s.crashes = slices.Delete(s.crashes, 0, 1)
 	}
-	s.last, s.triedAt = now, time.Time{}
+	s.learned, s.trialAt = now, time.Time{}
 }
 
-// explain notes that a banned request ended an upstream.
-func (l *Ledger) explain(now time.Time, target string) {
-	if !l.isExplained(target) && len(l.explained) >= maxExplained {
-		l.dropped.Ends++ // It stays held against the others, whose trials clear them.
+// attribute records that a banned request crashed an upstream.
+func (l *Ledger) attribute(now time.Time, target string) {
+	if !l.isAttributed(target) && len(l.attributed) >= maxAttributed {
+		l.dropped.Ends++ // The crash still counts against other requests, whose trials clear them.
 		return
 	}
-	l.explained[target] = now
+	l.attributed[target] = now
 }
 
-func (l *Ledger) isExplained(target string) bool {
-	_, ok := l.explained[target]
+func (l *Ledger) isAttributed(target string) bool {
+	_, ok := l.attributed[target]
 	return ok
 }
--- a/core/poison/unsuspected.go
+++ b/core/poison/unsuspected.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// maxUnsuspected bounds the answered runs that are kept, some times those that a VM
-	// has in the time that counts.
+	// maxUnsuspected bounds the answered runs that are kept: several times those that a VM
+	// has within Outlives.
 	maxUnsuspected = 512
-	// maxKeptBody bounds the bodies of requests that are kept with them, in bytes.
+	// maxKeptBody bounds the bodies of the requests that are kept with them, in bytes.
 	maxKeptBody = 4 << 10
 )
 
-// unsuspectedRun is an answered run of a request that nothing was held against. Its Print
-// is worked out only where it is needed.
+// unsuspectedRun is an answered run of a request that is not suspected. Its Print is computed
+// only when it is needed.
 type unsuspectedRun struct {
 	Run
-	req Request // A copy, as the request may be sent once more meanwhile.
+	req Request // A copy, as the request may be sent again meanwhile.
 }
 
-// ServedUnsuspected takes in that an upstream answered a request of which nothing is known.
-// Should the upstream end in that moment, the request may have been the cause. One with a
-// long body is not kept. r needs no Print.
+// ServedUnsuspected records that an upstream answered a request that is not suspected. If the
+// upstream crashes at that moment, the request may have caused it. Requests with a long body
+// are not recorded. r needs no Print.
 func (l *Ledger) ServedUnsuspected(r Run, req *Request) {
 	if len(req.content.Body) > maxKeptBody {
 		return
@@ -38,10 +38,10 @@
 	l.oldestUnsuspected = (l.oldestUnsuspected + 1) % maxUnsuspected
 }
 
-// dropUnsuspected forgets runs whose upstreams have outlived their answers, as nothing of an
-// end was seen so far.
+// dropUnsuspected drops the runs whose upstreams have survived their response, as no sign of a
+// crash was seen since.
 func (l *Ledger) dropUnsuspected(now time.Time) {
-	l.deleteUnsuspected(func(r unsuspectedRun) bool { return now.Sub(r.Ended) > livesOn })
+	l.deleteUnsuspected(func(r unsuspectedRun) bool { return now.Sub(r.Ended) > survivalMargin })
 }
 
 func (l *Ledger) deleteUnsuspected(del func(unsuspectedRun) bool) {
@@ -52,7 +52,8 @@
 	l.unsuspected = slices.DeleteFunc(l.unsuspected, del)
 }
 
-// takeUnsuspected returns the runs that an upstream answered in the moment of its end.
+// takeUnsuspected removes the runs of an upstream, and returns those that it answered within
+// Outlives before first, the first sign of its crash.
 func (l *Ledger) takeUnsuspected(target string, first time.Time) []Run {
 	var runs []Run
 	for _, r := range l.unsuspected {
