--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -9,32 +9,33 @@
 	"auburnlatch/core/watch"
 )
 
-// fleet returns VMs, every third of them beside the platform.
+// fleet returns VMs, every third of them near the platform.
 func fleet(n int, near, far time.Duration) []watch.VM {
 	vms := make([]watch.VM, n)
 	for i := range vms {
-		trip := far
+		rtt := far
 		if i%3 == 0 {
-			trip = near + time.Duration(i)*time.Microsecond
+			rtt = near + time.Duration(i)*time.Microsecond
 		}
-		vms[i] = watch.VM{Name: fmt.Sprint("vm", i), Trip: trip}
+		vms[i] = watch.VM{Name: fmt.Sprint("vm", i), Trip: rtt}
 	}
 	return vms
 }
 
-// All VMs of two regions read the heartbeats of 3,000 upstreams across a third of a
-// second's trip, as the two that hashing named happened to be there.
+// Guards against readers far from the platform while VMs are near it: rendezvous hashing alone
+// chose two readers in other regions, and the heartbeats of 3,000 upstreams crossed regions
+// with a round trip of a third of a second.
 func TestVMsBesideThePlatformReadFirst(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		near, far time.Duration
-		only      bool // Only those that are near read.
+		only      bool // Only VMs that are near read.
 	}{
 		{"regions far apart", time.Millisecond, 112 * time.Millisecond, true},
 		{"regions near each other", 2 * time.Millisecond, 25 * time.Millisecond, true},
 		{"one region", time.Millisecond, 2 * time.Millisecond, false},
-		{"nobody knows", 0, 0, false},
-		{"one knows, and is far", 0, 90 * time.Millisecond, false},
+		{"all round trips unknown", 0, 0, false},
+		{"only far VMs know their round trip", 0, 90 * time.Millisecond, false},
 	} {
 		vms := fleet(300, tc.near, tc.far)
 		if tc.near == 0 {
@@ -46,64 +47,65 @@
 		}
 		first := watch.First(vms, 2)
 		if len(first) != 2 || first[0] == first[1] {
-			t.Fatalf("%s: %v read, want two", tc.name, first)
+			t.Fatalf("%s: readers are %v, want two", tc.name, first)
 		}
 		for _, vm := range vms {
 			if i := slices.Index(first, vm.Name); i >= 0 && tc.only && vm.Trip == tc.far {
-				t.Errorf("%s: %s reads and is far away", tc.name, vm.Name)
+				t.Errorf("%s: %s is a reader and is far away", tc.name, vm.Name)
 			}
 		}
 	}
 }
 
-// The VMs that come after the two that read take their place one after the other where
-// the platform turns those away. Each must know its own turn.
+// If the platform rejects the two readers, the VMs that rank next take over one after the
+// other. Each VM must have a rank of its own.
 func TestEachHasItsTurn(t *testing.T) {
 	vms := fleet(40, time.Millisecond, 100*time.Millisecond)
-	turns := make(map[int]string)
+	byRank := make(map[int]string)
 	for _, vm := range vms {
-		turn := watch.Before(vms, vm.Name)
-		if other := turns[turn]; other != "" {
-			t.Errorf("%s and %s both have turn %d", other, vm.Name, turn)
+		rank := watch.Before(vms, vm.Name)
+		if other := byRank[rank]; other != "" {
+			t.Errorf("%s and %s both have rank %d", other, vm.Name, rank)
 		}
-		turns[turn] = vm.Name
-		if near := turn < 14; near != (vm.Trip < 50*time.Millisecond) {
-			t.Errorf("%s with a trip of %v has turn %d", vm.Name, vm.Trip, turn)
+		byRank[rank] = vm.Name
+		if near := rank < 14; near != (vm.Trip < 50*time.Millisecond) {
+			t.Errorf("%s with a round trip of %v has rank %d", vm.Name, vm.Trip, rank)
 		}
 	}
-	if first := watch.First(vms, 2); first[0] != turns[0] || first[1] != turns[1] {
-		t.Errorf("%v read, want %s and %s", first, turns[0], turns[1])
+	if first := watch.First(vms, 2); first[0] != byRank[0] || first[1] != byRank[1] {
+		t.Errorf("readers are %v, want %s and %s", first, byRank[0], byRank[1])
 	}
 }
 
-// A fleet with one VM, and one that is not there.
+// Guards against errors with fewer VMs than readers.
 func TestFewVMs(t *testing.T) {
 	if first := watch.First(nil, 2); len(first) != 0 {
-		t.Errorf("%v read of none", first)
+		t.Errorf("readers of no VMs are %v", first)
 	}
 	if first := watch.First([]watch.VM{{Name: "a"}}, 2); !slices.Equal(first, []string{"a"}) {
-		t.Errorf("%v read of one", first)
+		t.Errorf("readers of one VM are %v", first)
 	}
 }
 
-// Two VMs of 0.16 cores read for 300 while twelve beside the platform had five times as
-// much: they answered late, and the others read for themselves.
+// Guards against weak readers: two VMs of 0.16 cores read for 300 while twelve near the
+// platform had five times as much. They responded late, and the others read the platform
+// themselves.
 func TestStrongVMsReadFirst(t *testing.T) {
 	vms := fleet(60, time.Millisecond, 100*time.Millisecond)
 	for i := range vms {
 		vms[i].Cores = 0.16
 		if i%6 < 2 {
-			vms[i].Cores = 0.8 // Every second one of those beside the platform, and others.
+			vms[i].Cores = 0.8 // Every second one of those near the platform, and others.
 		}
 	}
 	for _, vm := range vms {
 		near, strong := vm.Trip < 50*time.Millisecond, vm.Cores > 0.5
-		turn := watch.Before(vms, vm.Name)
-		if want := near && strong; (turn < 10) != want {
-			t.Errorf("%s (near %v, strong %v) has turn %d", vm.Name, near, strong, turn)
+		rank := watch.Before(vms, vm.Name)
+		if want := near && strong; (rank < 10) != want {
+			t.Errorf("%s (near %v, strong %v) has rank %d", vm.Name, near, strong, rank)
 		}
-		if !near && turn < 20 {
-			t.Errorf("%s is far and has turn %d", vm.Name, turn)
+		if !near && rank < 20 {
+			t.Errorf("%s is far and has rank %d", vm.Name, rank)
 		}
 	}
 }
