--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -12,7 +12,7 @@
 func Example() {
 	var l lease.Lease
 	asked := lease.Moment(100 * time.Second)
-	// A neighbour answers that it was sure two seconds ago.
+	// A peer replies that its state was verified two seconds ago.
 	l.Renew(lease.AsOf(asked, 2*time.Second))
 	fmt.Println(l.Age(asked + lease.Moment(time.Second)))
 	// Output: 3s
@@ -21,14 +21,14 @@
 func TestLease(t *testing.T) {
 	var l lease.Lease
 	if age := l.Age(5); age != lease.Never {
-		t.Errorf("nothing was known for %v", age)
+		t.Errorf("zero lease: age %v, want Never", age)
 	}
 	l.Renew(lease.AsOf(lease.Moment(time.Second), lease.Never))
 	if age := l.Age(lease.Moment(time.Second)); age != lease.Never {
-		t.Errorf("one that knows nothing made it %v", age)
+		t.Errorf("after a reply that was never verified: age %v, want Never", age)
 	}
 	l.Renew(lease.Moment(9 * time.Second))
-	l.Renew(lease.Moment(3 * time.Second)) // An answer that was late.
+	l.Renew(lease.Moment(3 * time.Second)) // A late reply.
 	if age := l.Age(lease.Moment(10 * time.Second)); age != time.Second {
 		t.Errorf("age %v, want 1s", age)
 	}
@@ -42,34 +42,34 @@
 	}
 }
 
-// fleet plays VMs that renew what they know from the platform and from each other, with
-// messages that are late, lost or overtaken, VMs that are suspended between a look and an
-// answer, and VMs that start anew. Times are steps; a key is taken away at one of them.
+// fleet simulates VMs that renew their leases from the platform and from each other. Messages
+// are delayed, lost or reordered, VMs are suspended between a query and its reply, and VMs
+// restart. Times are steps; the key is revoked at one of them.
 type fleet struct {
 	rng     *rand.Rand
 	now     lease.Moment
 	revoked lease.Moment // 0: not yet.
 	vms     []*vm
-	// Mutations of the protocol, each of which has to be found.
-	byAnswer bool // The moment counts from the answer.
-	handed   bool // What is told unasked counts as of its arrival.
+	// Mutations of the protocol, each of which the test has to detect.
+	fromReply bool // The lease starts when the reply arrives.
+	pushed    bool // State that arrives without a query counts as of its arrival.
 }
 
-// vm knows whether the key is there, and as of when.
+// vm is the state of one VM.
 type vm struct {
-	knows bool // That the key was taken away.
-	sure  lease.Lease
-	// asks are questions on their way, to the platform or to a VM.
-	asks []ask
-	// suspended until then, it does nothing.
+	knowsRevoked bool // That the key was revoked.
+	verified     lease.Lease
+	// queries are in flight, to the platform or to another VM.
+	queries []query
+	// suspended is until when the VM does nothing.
 	suspended lease.Moment
 }
 
-type ask struct {
+type query struct {
 	at, answeredAt, arrives lease.Moment
-	of                      *vm // nil: the platform.
+	to                      *vm // nil: the platform.
 	answered                bool
-	knows                   bool
+	knowsRevoked            bool
 	age                     time.Duration
 }
 
@@ -83,65 +83,65 @@
 		case 0:
 			v.suspended = f.now + lease.Moment(f.rng.IntN(40))
 		case 1:
-			*v = vm{} // It starts anew.
+			*v = vm{} // It restarts.
 		case 2, 3, 4, 5:
-			a := ask{at: f.now, answeredAt: f.now + lease.Moment(f.rng.IntN(15))}
-			a.arrives = a.answeredAt + lease.Moment(f.rng.IntN(15))
+			q := query{at: f.now, answeredAt: f.now + lease.Moment(f.rng.IntN(15))}
+			q.arrives = q.answeredAt + lease.Moment(f.rng.IntN(15))
 			if f.rng.IntN(3) > 0 {
-				a.of = f.vms[f.rng.IntN(len(f.vms))]
+				q.to = f.vms[f.rng.IntN(len(f.vms))]
 			}
-			if f.rng.IntN(4) > 0 { // Else it is lost.
-				v.asks = append(v.asks, a)
+			if f.rng.IntN(4) > 0 { // Otherwise it is lost.
+				v.queries = append(v.queries, q)
 			}
 		}
-		v.take(f)
+		v.receive(f)
 	}
 }
 
-// take has answers given and taken in.
-func (v *vm) take(f *fleet) {
-	var left []ask
-	for _, a := range v.asks {
-		if !a.answered && f.now >= a.answeredAt && (a.of == nil || f.now >= a.of.suspended) {
-			a.answered = true
-			a.knows, a.age = f.revoked != 0, 0
-			if a.of != nil {
-				a.knows, a.age = a.of.knows, a.of.sure.Age(f.now)
+// receive answers the VM's queries that are due, and applies the replies that have arrived.
+func (v *vm) receive(f *fleet) {
+	var pending []query
+	for _, q := range v.queries {
+		if !q.answered && f.now >= q.answeredAt && (q.to == nil || f.now >= q.to.suspended) {
+			q.answered = true
+			q.knowsRevoked, q.age = f.revoked != 0, 0
+			if q.to != nil {
+				q.knowsRevoked, q.age = q.to.knowsRevoked, q.to.verified.Age(f.now)
 			}
 		}
-		if !a.answered || f.now < a.arrives {
-			left = append(left, a)
+		if !q.answered || f.now < q.arrives {
+			pending = append(pending, q)
 			continue
 		}
-		v.knows = v.knows || a.knows
-		asked := a.at
-		if f.byAnswer {
+		v.knowsRevoked = v.knowsRevoked || q.knowsRevoked
+		asked := q.at
+		if f.fromReply {
 			asked = f.now
 		}
-		v.sure.Renew(lease.AsOf(asked, a.age))
-		if f.handed {
-			// It is passed on, and takes some time to arrive.
+		v.verified.Renew(lease.AsOf(asked, q.age))
+		if f.pushed {
+			// The state is forwarded, and takes some time to arrive.
 			other := f.vms[f.rng.IntN(len(f.vms))]
-			other.sure.Renew(lease.AsOf(f.now, v.sure.Age(f.now-lease.Moment(f.rng.IntN(10)))))
+			other.verified.Renew(lease.AsOf(f.now, v.verified.Age(f.now-lease.Moment(f.rng.IntN(10)))))
 		}
 	}
-	v.asks = left
+	v.queries = pending
 }
 
-// admitsLate plays a fleet and reports whether a request was admitted with the key whose
-// caller sent it later than the bound after the key was taken away.
-func admitsLate(seed uint64, change func(*fleet)) bool {
+// admitsLate simulates a fleet and reports whether a VM admitted a request with the key that
+// the caller sent later than the bound after the key was revoked.
+func admitsLate(seed uint64, mutate func(*fleet)) bool {
 	const bound = 50
 	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), vms: []*vm{{}, {}, {}, {}}}
-	change(f)
+	mutate(f)
 	for range 400 {
 		f.step()
 		if f.now == 120 {
 			f.revoked = f.now
 		}
 		for _, v := range f.vms {
-			read := f.now // It was sent then or before.
-			if f.now >= v.suspended && !v.knows && v.sure.Age(read) <= bound && f.revoked != 0 && read > f.revoked+bound {
+			read := f.now // The request was sent then or before.
+			if f.now >= v.suspended && !v.knowsRevoked && v.verified.Age(read) <= bound && f.revoked != 0 && read > f.revoked+bound {
 				return true
 			}
 		}
@@ -149,26 +149,26 @@
 	return false
 }
 
-// A key is taken away while VMs are suspended, start anew, ask each other and the platform,
-// and answers are late or lost: none admits it later than the bound. A lease that counts
-// from the answer, or that takes what it is told unasked for new, does within few runs.
+// A key is revoked while VMs are suspended, restart, query each other and the platform, and
+// replies are delayed or lost. No VM may admit it later than the bound. A lease that starts when
+// the reply arrives, or that counts unsolicited state as new, is detected within few runs.
 func TestNoKeyIsAdmittedLate(t *testing.T) {
 	const runs = 3000
-	find := func(change func(*fleet)) bool {
+	find := func(mutate func(*fleet)) bool {
 		for seed := range uint64(runs) {
-			if admitsLate(seed, change) {
+			if admitsLate(seed, mutate) {
 				return true
 			}
 		}
 		return false
 	}
 	if find(func(*fleet) {}) {
-		t.Error("a key was admitted later than the bound after it was taken away")
+		t.Error("a key was admitted later than the bound after it was revoked")
 	}
-	if !find(func(f *fleet) { f.byAnswer = true }) {
-		t.Error("a lease that counts from the answer was not found out")
+	if !find(func(f *fleet) { f.fromReply = true }) {
+		t.Error("a lease that starts when the reply arrives was not detected")
 	}
-	if !find(func(f *fleet) { f.handed = true }) {
-		t.Error("a lease that takes what is told unasked for new was not found out")
+	if !find(func(f *fleet) { f.pushed = true }) {
+		t.Error("a lease that counts unsolicited state as new was not detected")
 	}
 }
