--- a/core/internal/eventqueue/eventqueue.go
+++ b/core/internal/eventqueue/eventqueue.go
@@ -1,4 +1,4 @@
-// Package eventqueue runs functions in the order of simulated time.
+// Package eventqueue runs functions in order of simulated time.
 //
 // # Usage
 //
@@ -12,27 +12,27 @@
 	"time"
 )
 
-// Queue holds functions that are to run. Those of the same moment run in the order in which
-// they were added. The zero value is ready. It is not safe for concurrent use.
+// Queue holds functions to run at given times. Those with the same time run in the order in which
+// they were added. The zero value is an empty queue. It is not safe for concurrent use.
 type Queue struct {
 	events events
 	added  int
 }
 
-// Add has a function run at a moment, which is its argument.
+// Add schedules a function for a time, which is passed to it.
 func (q *Queue) Add(at time.Time, run func(now time.Time)) {
 	q.added++
 	heap.Push(&q.events, event{at, q.added, run})
 }
 
-// Run runs all functions up to a moment, those included that they add.
+// Run runs all functions up to and including a time, also those that are added meanwhile.
 func (q *Queue) Run(until time.Time) {
 	for len(q.events) > 0 && !q.events[0].at.After(until) {
 		q.runFirst()
 	}
 }
 
-// RunAll runs functions until there are none left.
+// RunAll runs functions until the queue is empty.
 func (q *Queue) RunAll() {
 	for len(q.events) > 0 {
 		q.runFirst()
@@ -50,7 +50,7 @@
 	run func(now time.Time)
 }
 
-// events is a heap by time.
+// events is a heap by time and order of addition.
 type events []event
 
 func (e events) Len() int { return len(e) }
