--- a/core/dispatch/budget.go
+++ b/core/dispatch/budget.go
@@ -5,27 +5,26 @@
 	"time"
 )
 
-// Budget bounds retries to a share of the requests of the last while, so that
-// when every upstream refuses, retries add at most that share to the load.
-// It is safe for concurrent use; the zero value grants the minimum only.
+// Budget limits retries to a share of the recent requests. When every upstream
+// refuses, retries add at most that share to the load. It is safe for
+// concurrent use; the zero value grants the minimum only.
 type Budget struct {
 	mu      sync.Mutex
-	at      time.Time
+	updated time.Time
 	credit  float64
 	started bool
 }
 
-// The budget's bounds.
 const (
 	// budgetWindow is how long unused credit lasts.
 	budgetWindow = 10 * time.Second
-	// maxCredit bounds how many retries may come in one burst.
+	// maxCredit is the largest burst of retries.
 	maxCredit = 20
-	// firstCredit lets a VM with little traffic retry at all.
-	firstCredit = 1
+	// initialCredit allows a VM with little traffic to retry at all.
+	initialCredit = 1
 )
 
-// Request counts one request, which earns the share of one retry.
+// Request counts one request, which adds share to the retry credit.
 func (b *Budget) Request(now time.Time, share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -33,7 +32,7 @@
 	b.credit = min(maxCredit, b.credit+share)
 }
 
-// Retry reports whether one more retry may be sent, and counts it.
+// Retry reports whether one more retry may be sent, and counts it if so.
 func (b *Budget) Retry(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -45,13 +44,13 @@
 	return true
 }
 
-// decay lets unused credit run out over the window.
+// decay reduces unused credit by the fraction of budgetWindow that has passed.
 func (b *Budget) decay(now time.Time) {
 	if !b.started {
-		b.started, b.at, b.credit = true, now, firstCredit
+		b.started, b.updated, b.credit = true, now, initialCredit
 		return
 	}
-	passed := now.Sub(b.at)
-	b.at = now
+	passed := now.Sub(b.updated)
+	b.updated = now
 	b.credit *= max(0, 1-float64(passed)/float64(budgetWindow))
 }
--- a/core/dispatch/health.go
+++ b/core/dispatch/health.go
@@ -6,17 +6,16 @@
 	"auburnlatch/core/verdict"
 )
 
-// Health is what is believed of an upstream.
+// Health is the health state of an upstream.
 type Health int
 
-// The states of health. The zero value is Up: an upstream nobody has tried is
-// tried.
+// The zero value is Up, so that an upstream without any reports gets requests.
 const (
 	Up Health = iota
 	Down
-	// Leaving upstreams finish what they have and get nothing new.
+	// Leaving upstreams finish the requests they have and get no new ones.
 	Leaving
-	// Cold upstreams have just started and get work little by little.
+	// Cold upstreams have just started; their load is increased gradually.
 	Cold
 )
 
@@ -34,7 +33,7 @@
 	}
 }
 
-// ParseHealth returns the state named s; an unknown name is Up.
+// ParseHealth returns the state named s. An unknown name is Up.
 func ParseHealth(s string) Health {
 	for _, h := range []Health{Down, Leaving, Cold} {
 		if s == h.String() {
@@ -44,89 +43,90 @@
 	return Up
 }
 
-// Tuning of health.
 const (
-	// WarmUp is how long a cold upstream takes to its full share.
+	// WarmUp is how long a cold upstream takes to reach its full share.
 	WarmUp = 20 * time.Second
-	// maxFailures of real requests in a row put an upstream Down.
+	// maxFailures is how many requests must fail in a row before the upstream
+	// is Down.
 	maxFailures = 3
-	// retryDown is when a Down upstream is tried again by a real request,
-	// whatever the probes say: their view may be wrong.
-	retryDown = 5 * time.Second
-	// trustAbove is the share of a service's upstreams that must look alive
-	// for the evidence against the others to be believed. When more than half
-	// look dead at once, the fault is likelier in the looking.
-	trustAbove = 0.5
+	// downRetryInterval is when a request is tried on a Down upstream again,
+	// whatever the probes report, since the probes may be wrong.
+	downRetryInterval = 5 * time.Second
+	// minUpShare is the share of a service's upstreams that must not be Down
+	// for the Down state of the others to count. When more than half appear
+	// Down at once, the checks are more likely at fault than the upstreams.
+	minUpShare = 0.5
 	// latencyWeight is the weight of the newest sample in the moving average.
 	latencyWeight = 0.2
 )
 
 // Sample is the outcome of one request to an upstream.
 type Sample struct {
-	// Err is nil where the upstream answered, whatever the status.
+	// Err is nil if the upstream answered, with any status.
 	Err error
-	// Shed says that the upstream refused for lack of capacity.
+	// Shed reports that the upstream refused for lack of capacity.
 	Shed bool
-	// Pause is for how long the upstream wants nothing of this VM; 0: it does not say.
+	// Pause is how long the upstream asks to get no requests from this VM, or
+	// 0 if it does not say.
 	Pause time.Duration
 	Took  time.Duration
 }
 
-// observe takes in the outcome of a real request, which outranks what probes
-// say: an upstream that answers requests is up.
-func (h *holding) observe(now time.Time, s Sample) {
-	if until := now.Add(s.Pause); s.Pause > 0 && until.After(h.pausedUntil) {
-		h.pausedUntil = until
+// observe records the outcome of a request. It takes precedence over probes:
+// an upstream that answers requests is up.
+func (a *allocation) observe(now time.Time, s Sample) {
+	if until := now.Add(s.Pause); s.Pause > 0 && until.After(a.pausedUntil) {
+		a.pausedUntil = until
 	}
 	switch {
 	case s.Err == nil && !s.Shed:
-		h.failures = 0
-		h.latency = average(h.latency, s.Took)
-		if h.state == Down {
-			h.set(now, Up)
+		a.failures = 0
+		a.latency = movingAverage(a.latency, s.Took)
+		if a.state == Down {
+			a.setState(now, Up)
 		}
 	case s.Err != nil && verdict.As(s.Err).Reason != verdict.ReasonCanceled:
-		h.failures++
-		if h.failures >= maxFailures && h.state != Leaving {
-			h.set(now, Down)
+		a.failures++
+		if a.failures >= maxFailures && a.state != Leaving {
+			a.setState(now, Down)
 		}
 	}
 }
 
-// probed takes in the outcome of a probe. A probe never lifts an upstream that
-// real requests have just found down.
-func (h *holding) probed(now time.Time, state Health) {
-	if h.state == Down && state != Leaving && now.Sub(h.stateAt) < retryDown && h.failures >= maxFailures {
+// reportHealth records a reported state. Only Leaving replaces a Down state
+// that failed requests have caused within the last downRetryInterval.
+func (a *allocation) reportHealth(now time.Time, state Health) {
+	if a.state == Down && state != Leaving && now.Sub(a.stateAt) < downRetryInterval && a.failures >= maxFailures {
 		return
 	}
-	if state != h.state {
-		h.set(now, state)
+	if state != a.state {
+		a.setState(now, state)
 	}
 }
 
-func (h *holding) set(now time.Time, state Health) {
-	if state == Cold || (h.state == Down && state == Up) {
-		h.coldSince = now
+func (a *allocation) setState(now time.Time, state Health) {
+	if state == Cold || (a.state == Down && state == Up) {
+		a.coldSince = now
 	}
 	if state != Down {
-		h.failures = 0
+		a.failures = 0
 	}
-	h.state, h.stateAt = state, now
+	a.state, a.stateAt = state, now
 }
 
-// usable reports whether the upstream may get new work; trusting says whether
-// the evidence that it is down counts.
-func (h *holding) usable(now time.Time, trusting bool) bool {
-	if h.drained || h.state == Leaving || now.Before(h.pausedUntil) {
+// usable reports whether the upstream may get new requests. If trusted is
+// false, a Down state is ignored.
+func (a *allocation) usable(now time.Time, trusted bool) bool {
+	if a.drained || a.state == Leaving || now.Before(a.pausedUntil) {
 		return false
 	}
-	if h.state != Down || !trusting {
+	if a.state != Down || !trusted {
 		return true
 	}
-	return now.Sub(h.stateAt) >= retryDown && h.inUse == 0
+	return now.Sub(a.stateAt) >= downRetryInterval && a.inUse == 0
 }
 
-func average(old, sample time.Duration) time.Duration {
+func movingAverage(old, sample time.Duration) time.Duration {
 	if old == 0 {
 		return sample
 	}
--- a/core/dispatch/holding.go
+++ b/core/dispatch/holding.go
@@ -6,110 +6,116 @@
 	"auburnlatch/core/inventory"
 )
 
-// MateView is what a VM last heard from another VM of its zone.
+// MateView is the last known state of another VM of the zone.
 type MateView struct {
 	VM string
-	// Held is how many slots of each target the mate holds or intends to.
+	// Held is the number of slots that the peer holds or intends to hold, by
+	// target.
 	Held map[string]int
-	// Acked is the newest own publication that the mate is known to have seen.
+	// Acked is the newest publication of this VM that the peer is known to
+	// have received.
 	Acked uint64
-	// Gone says that the mate holds nothing any more: it has left with nothing
-	// in flight, or the platform has taken it away since it was last heard.
+	// Gone reports that the peer holds no slots any more: it has left with no
+	// requests in flight, or the platform has removed it since its last
+	// heartbeat.
 	Gone bool
 }
 
-// View is what a Tick decides from.
+// View is the input of Tick.
 type View struct {
 	Targets []*inventory.Target
-	// Services gives each service's rules.
+	// Services are the rules of each service.
 	Services []*inventory.Service
-	// Live are the names of the zone's VMs that may dispatch, self included
-	// unless it is leaving.
+	// Live are the names of the zone's VMs that may dispatch, including this
+	// one unless it is leaving.
 	Live []string
-	// Mates are all other VMs of the zone ever heard of, silent ones included.
+	// Mates are all other VMs of the zone ever known, including those whose
+	// heartbeats are missing.
 	Mates []MateView
-	// Seq numbers the publication in which this Tick's Held will stand.
+	// Seq is the sequence number of the publication that will carry the slots
+	// returned by this Tick.
 	Seq uint64
-	// Fresh says that the VM knows its zone: it has heard from its mates, or
-	// knows that it has none. Until then it takes no slot.
+	// Fresh reports that the VM knows its zone: it has received the state of
+	// its peers, or knows that it has none. Until then it takes no slots.
 	Fresh bool
-	// Drained are the targets that get nothing new.
+	// Drained are the targets that get no new requests.
 	Drained map[string]bool
 }
 
-// holding is one VM's part of one upstream's slots.
-type holding struct {
+// allocation is one VM's share of one upstream's slots.
+type allocation struct {
 	target    *inventory.Target
-	inForce   int    // Slots that may be handed out.
-	intent    int    // Slots published as held; never below inForce.
-	intentSeq uint64 // The publication that first named intent.
+	inForce   int    // Slots that may be granted.
+	intent    int    // Slots published as held; at least inForce.
+	intentSeq uint64 // First publication that carried intent.
 	inUse     int
 
 	state     Health
 	stateAt   time.Time
 	coldSince time.Time
-	failures  int
+	failures  int // Failed requests in a row.
 	latency   time.Duration
 	drained   bool
-	// pausedUntil is until when the upstream wants nothing of this VM.
+	// pausedUntil is the end of the pause that the upstream has asked for.
 	pausedUntil time.Time
 }
 
-// resize moves the slots in force towards want.
+// resize changes the slots in force to want, or towards it.
 //
-// Shrinking is at once. Growing guards against two VMs handing out the same
-// slot, which would show as an upstream running more requests than it has
-// slots: the VM publishes its intent, and takes it into use only when every
-// mate has acknowledged that publication while leaving room for it. A mate
-// that acknowledged it counts it from then on in its own growth; a mate that
-// grew before shows so in the very entry that carries its acknowledgement.
-func (h *holding) resize(want int, mates []MateView, seq uint64) {
-	if want <= h.inForce {
-		h.inForce, h.intent = want, want
+// The number shrinks at once. Growth must prevent two VMs from granting the
+// same slot, which would make an upstream run more requests than it has slots:
+// the VM publishes its intent, and starts to use it only when every peer has
+// acknowledged that publication and their slots leave room for it. A peer that
+// has acknowledged it takes it into account when it grows itself. A peer that
+// grew before shows its new slots in the same entry that carries its
+// acknowledgement.
+func (a *allocation) resize(want int, peers []MateView, seq uint64) {
+	if want <= a.inForce {
+		a.inForce, a.intent = want, want
 		return
 	}
-	room := h.target.Slots
-	for _, m := range mates {
-		if !m.Gone {
-			room -= m.Held[h.target.Name]
+	room := a.target.Slots
+	for _, p := range peers {
+		if !p.Gone {
+			room -= p.Held[a.target.Name]
 		}
 	}
-	intent := max(h.inForce, min(want, room))
-	if intent > h.intent {
-		h.intentSeq = seq
+	intent := max(a.inForce, min(want, room))
+	if intent > a.intent {
+		a.intentSeq = seq
 	}
-	h.intent = intent
-	if h.intentSeq < seq && allAcked(mates, h.intentSeq) {
-		h.inForce = intent
+	a.intent = intent
+	if a.intentSeq < seq && allAcked(peers, a.intentSeq) {
+		a.inForce = intent
 	}
 }
 
-// allAcked reports whether every mate that may hold slots has seen seq.
-func allAcked(mates []MateView, seq uint64) bool {
-	for _, m := range mates {
-		if !m.Gone && m.Acked < seq {
+// allAcked reports whether every peer that may hold slots has acknowledged seq.
+func allAcked(peers []MateView, seq uint64) bool {
+	for _, p := range peers {
+		if !p.Gone && p.Acked < seq {
 			return false
 		}
 	}
 	return true
 }
 
-// held is what is published for the upstream.
-func (h *holding) held() int { return max(h.inForce, h.intent, h.inUse) }
+// held returns the number of slots to publish as held.
+func (a *allocation) held() int { return max(a.inForce, a.intent, a.inUse) }
 
-// limit is how many slots may be in use now. An upstream that starts cold
-// gets them little by little.
-func (h *holding) limit(now time.Time) int {
-	if h.coldSince.IsZero() {
-		return h.inForce
+// limit returns how many slots may be in use now. It grows from 1 to all of
+// inForce while a cold upstream warms up.
+func (a *allocation) limit(now time.Time) int {
+	if a.coldSince.IsZero() {
+		return a.inForce
 	}
-	warm := now.Sub(h.coldSince)
+	warm := now.Sub(a.coldSince)
 	if warm >= WarmUp {
-		return h.inForce
+		return a.inForce
 	}
-	part := int(float64(h.inForce) * float64(warm) / float64(WarmUp))
-	return min(h.inForce, max(1, part))
+	part := int(float64(a.inForce) * float64(warm) / float64(WarmUp))
+	return min(a.inForce, max(1, part))
 }
 
-// free is how many more requests the upstream may be sent now.
-func (h *holding) free(now time.Time) int { return h.limit(now) - h.inUse }
+// free returns how many more requests the upstream may be sent now.
+func (a *allocation) free(now time.Time) int { return a.limit(now) - a.inUse }
--- a/core/dispatch/pool.go
+++ b/core/dispatch/pool.go
@@ -10,69 +10,71 @@
 	"auburnlatch/core/verdict"
 )
 
-// FenceAfter is the gap between two Ticks after which a VM takes it that it
-// was paused, and hands out no slot until the next Tick.
+// FenceAfter is the time since the last Tick after which a VM assumes that it
+// was paused. It then grants no slot until the next Tick.
 const FenceAfter = 2 * time.Second
 
-// Pool is one VM's part of the slots of its zone. It is safe for concurrent
+// Pool is one VM's share of the slots of its zone. It is safe for concurrent
 // use.
 type Pool struct {
 	self string
 
-	mu       sync.Mutex
-	lastTick time.Time
-	holdings map[string]*holding
-	services map[string]*service
+	mu          sync.Mutex
+	lastTick    time.Time
+	allocations map[string]*allocation // By target.
+	services    map[string]*service
 }
 
 // service groups the upstreams of one service in the zone.
 type service struct {
-	rules    *inventory.Service
-	holdings []*holding // Sorted by target.
-	queue    []*Ticket
-	dispatch []string // The dispatchers' names, best first.
+	rules       *inventory.Service
+	allocations []*allocation // Sorted by target.
+	queue       []*Ticket
+	dispatchers []string // VM names, best first.
 }
 
-// NewPool returns the pool of the VM named self, without any slot.
+// NewPool returns the pool of the VM named self, without any slots.
 func NewPool(self string) *Pool {
-	return &Pool{self: self, holdings: map[string]*holding{}, services: map[string]*service{}}
+	return &Pool{self: self, allocations: map[string]*allocation{}, services: map[string]*service{}}
 }
 
-// Tick takes in a new view of the zone and moves the slots in force. It
-// returns the slots this VM holds, by target, to be published under View.Seq.
+// Tick applies a new view of the zone and updates the slots in force. It
+// returns the slots that this VM holds, by target, to be published with
+// sequence number View.Seq.
 func (p *Pool) Tick(now time.Time, v View) map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastTick = now
-	p.adopt(v)
+	p.applyView(v)
 	held := make(map[string]int)
 	for _, s := range p.services {
-		index := slices.Index(s.dispatch, p.self)
-		for _, h := range s.holdings {
+		index := slices.Index(s.dispatchers, p.self)
+		for _, a := range s.allocations {
 			want := 0
-			if v.Fresh && !h.drained {
-				want = Share(h.target.Name, h.target.Slots, len(s.dispatch), index)
+			if v.Fresh && !a.drained {
+				want = Share(a.target.Name, a.target.Slots, len(s.dispatchers), index)
 			}
-			h.resize(want, v.Mates, v.Seq)
+			a.resize(want, v.Mates, v.Seq)
 		}
 	}
-	for name, h := range p.holdings {
-		if n := h.held(); n > 0 {
+	for name, a := range p.allocations {
+		if n := a.held(); n > 0 {
 			held[name] = n
 		}
 	}
 	for _, s := range p.services {
-		if !slices.Contains(s.dispatch, p.self) {
-			// Nobody will ever be served here; another dispatcher may.
-			s.refuseAll()
+		if !slices.Contains(s.dispatchers, p.self) {
+			// This VM will get no slots for the queued requests, but another
+			// dispatcher may have some.
+			s.closeQueue()
 		}
-		p.serve(now, s)
+		p.grantQueued(now, s)
 	}
 	return held
 }
 
-// adopt brings targets and services in line with the view.
-func (p *Pool) adopt(v View) {
+// applyView updates targets and services to match the view.
+func (p *Pool) applyView(v View) {
 	slots := make(map[string]int)
 	seen := make(map[string]bool, len(v.Targets))
 	services := make(map[string]*service, len(v.Services))
@@ -81,7 +83,7 @@
 		if s == nil {
 			s = &service{}
 		}
-		s.rules, s.holdings = rules, s.holdings[:0]
+		s.rules, s.allocations = rules, s.allocations[:0]
 		services[rules.Name] = s
 	}
 	for _, t := range v.Targets {
@@ -89,51 +91,51 @@
 		if s == nil {
 			continue
 		}
-		h := p.holdings[t.Name]
-		if h == nil {
-			h = &holding{}
-			p.holdings[t.Name] = h
+		a := p.allocations[t.Name]
+		if a == nil {
+			a = &allocation{}
+			p.allocations[t.Name] = a
 		}
-		h.target, h.drained = t, v.Drained[t.Name]
-		s.holdings = append(s.holdings, h)
+		a.target, a.drained = t, v.Drained[t.Name]
+		s.allocations = append(s.allocations, a)
 		slots[t.Service] += t.Slots
 		seen[t.Name] = true
 	}
 	for name, s := range services {
-		slices.SortFunc(s.holdings, func(a, b *holding) int { return strings.Compare(a.target.Name, b.target.Name) })
-		s.dispatch = Dispatchers(name, slots[name], v.Live)
+		slices.SortFunc(s.allocations, func(a, b *allocation) int { return strings.Compare(a.target.Name, b.target.Name) })
+		s.dispatchers = Dispatchers(name, slots[name], v.Live)
 	}
-	p.forget(seen)
+	p.dropMissing(seen)
 	for name, s := range p.services {
 		if services[name] == nil {
-			s.refuseAll()
+			s.closeQueue()
 		}
 	}
 	p.services = services
 }
 
-// forget gives up targets that left the inventory. One with requests in
-// flight stays until they are done, and gets nothing new.
-func (p *Pool) forget(seen map[string]bool) {
-	for name, h := range p.holdings {
+// dropMissing removes targets that are no longer in the inventory. A target
+// with requests in flight stays until they are done, but gets no new ones.
+func (p *Pool) dropMissing(seen map[string]bool) {
+	for name, a := range p.allocations {
 		if seen[name] {
 			continue
 		}
-		h.inForce, h.intent, h.drained = 0, 0, true
-		if h.inUse == 0 {
-			delete(p.holdings, name)
+		a.inForce, a.intent, a.drained = 0, 0, true
+		if a.inUse == 0 {
+			delete(p.allocations, name)
 		}
 	}
 }
 
-// fenced reports whether the VM must hand out nothing because it was paused:
-// others may have been given its slots meanwhile. It would show as two VMs
-// each filling the same slots. The check is made at each grant with the time
-// of the grant, so the first request after a pause meets it too.
+// fenced reports whether the VM must not grant slots because it was paused.
+// Other VMs may have taken over its slots in the meantime, and two VMs would
+// use the same slots. Each grant checks this with its own time, so the check
+// also covers the first request after a pause.
 func (p *Pool) fenced(now time.Time) bool { return now.Sub(p.lastTick) > FenceAfter }
 
-// Offer takes a free slot for the service, if this VM has one, and returns
-// its target.
+// Offer takes a free slot for the service and returns its target. It reports
+// false if this VM has no free slot.
 func (p *Pool) Offer(now time.Time, serviceName string) (*inventory.Target, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -141,34 +143,34 @@
 	if s == nil || len(s.queue) > 0 {
 		return nil, false
 	}
-	h := p.pick(now, s)
-	if h == nil {
+	a := p.pick(now, s)
+	if a == nil {
 		return nil, false
 	}
-	h.inUse++
-	return h.target, true
+	a.inUse++
+	return a.target, true
 }
 
-// pick returns the usable upstream with the smallest part of its slots in use,
-// the faster one of two alike.
-func (p *Pool) pick(now time.Time, s *service) *holding {
+// pick returns the usable upstream with the smallest fraction of its slots in
+// use, or nil. Of two equally used upstreams it returns the faster one.
+func (p *Pool) pick(now time.Time, s *service) *allocation {
 	if p.fenced(now) {
 		return nil
 	}
-	trusting := s.trusting()
-	var best *holding
-	for _, h := range s.holdings {
-		if h.free(now) <= 0 || !h.usable(now, trusting) {
+	trusted := s.healthTrusted()
+	var best *allocation
+	for _, a := range s.allocations {
+		if a.free(now) <= 0 || !a.usable(now, trusted) {
 			continue
 		}
-		if best == nil || lessBusy(now, h, best) {
-			best = h
+		if best == nil || lessBusy(now, a, best) {
+			best = a
 		}
 	}
 	return best
 }
 
-func lessBusy(now time.Time, a, b *holding) bool {
+func lessBusy(now time.Time, a, b *allocation) bool {
 	left, right := a.inUse*b.limit(now), b.inUse*a.limit(now)
 	if left != right {
 		return left < right
@@ -176,39 +178,40 @@
 	return a.latency < b.latency
 }
 
-// trusting reports whether enough upstreams look alive for the evidence
-// against the others to be believed.
-func (s *service) trusting() bool {
+// healthTrusted reports whether enough upstreams are not Down for the Down
+// state of the others to count.
+func (s *service) healthTrusted() bool {
 	alive := 0
-	for _, h := range s.holdings {
-		if h.state != Down {
+	for _, a := range s.allocations {
+		if a.state != Down {
 			alive++
 		}
 	}
-	return float64(alive) >= trustAbove*float64(len(s.holdings))
+	return float64(alive) >= minUpShare*float64(len(s.allocations))
 }
 
-// Done gives the slot of a request back and takes in its outcome.
+// Done returns the slot of a request and records the request's outcome.
 func (p *Pool) Done(now time.Time, target string, sample Sample) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.holdings[target]
-	if h == nil {
+	a := p.allocations[target]
+	if a == nil {
 		return
 	}
-	h.inUse--
-	h.observe(now, sample)
-	if s := p.services[h.target.Service]; s != nil {
-		p.serve(now, s)
+	a.inUse--
+	a.observe(now, sample)
+	if s := p.services[a.target.Service]; s != nil {
+		p.grantQueued(now, s)
 	}
 }
 
-// Probed takes in what a probe, the upstream itself or a mate says of it.
+// Probed records the health of an upstream as reported by a probe, by the
+// upstream itself or by a peer.
 func (p *Pool) Probed(now time.Time, target string, state Health) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if h := p.holdings[target]; h != nil {
-		h.probed(now, state)
+	if a := p.allocations[target]; a != nil {
+		a.reportHealth(now, state)
 	}
 }
 
@@ -218,12 +221,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.services[serviceName]; s != nil {
-		return s.dispatch
+		return s.dispatchers
 	}
 	return nil
 }
 
-// Rules returns the rules of the service, or nil where there is none.
+// Rules returns the rules of the service, or nil if there is no such service.
 func (p *Pool) Rules(serviceName string) *inventory.Service {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -233,7 +236,7 @@
 	return nil
 }
 
-// TargetState is one upstream as this VM sees it.
+// TargetState is the state of one upstream as seen by this VM.
 type TargetState struct {
 	Target  string
 	Service string
@@ -246,7 +249,7 @@
 	Latency time.Duration
 }
 
-// ServiceState is one service as this VM sees it.
+// ServiceState is the state of one service as seen by this VM.
 type ServiceState struct {
 	Service string
 	// Slots in force on usable upstreams.
@@ -259,12 +262,12 @@
 func (p *Pool) Targets() []TargetState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := make([]TargetState, 0, len(p.holdings))
-	for name, h := range p.holdings {
+	list := make([]TargetState, 0, len(p.allocations))
+	for name, a := range p.allocations {
 		list = append(list, TargetState{
-			Target: name, Service: h.target.Service, Slots: h.target.Slots,
-			InForce: h.inForce, Intent: h.intent, InUse: h.inUse,
-			Health: h.state, Drained: h.drained, Latency: h.latency,
+			Target: name, Service: a.target.Service, Slots: a.target.Slots,
+			InForce: a.inForce, Intent: a.intent, InUse: a.inUse,
+			Health: a.state, Drained: a.drained, Latency: a.latency,
 		})
 	}
 	slices.SortFunc(list, func(a, b TargetState) int { return strings.Compare(a.Target, b.Target) })
@@ -278,11 +281,11 @@
 	list := make([]ServiceState, 0, len(p.services))
 	for name, s := range p.services {
 		st := ServiceState{Service: name, Queued: len(s.queue)}
-		trusting := s.trusting()
-		for _, h := range s.holdings {
-			st.InUse += h.inUse
-			if h.usable(now, trusting) {
-				st.Slots += h.limit(now)
+		trusted := s.healthTrusted()
+		for _, a := range s.allocations {
+			st.InUse += a.inUse
+			if a.usable(now, trusted) {
+				st.Slots += a.limit(now)
 			}
 		}
 		list = append(list, st)
@@ -291,31 +294,31 @@
 	return list
 }
 
-// InFlight returns how many requests hold a slot of this VM.
+// InFlight returns the number of requests that hold a slot of this VM.
 func (p *Pool) InFlight() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
-	for _, h := range p.holdings {
-		n += h.inUse
+	for _, a := range p.allocations {
+		n += a.inUse
 	}
 	return n
 }
 
-// Pending reports whether the VM waits for its mates to acknowledge slots it
-// intends to hold.
+// Pending reports whether the VM is waiting for its peers to acknowledge slots
+// that it intends to hold.
 func (p *Pool) Pending() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, h := range p.holdings {
-		if h.intent > h.inForce {
+	for _, a := range p.allocations {
+		if a.intent > a.inForce {
 			return true
 		}
 	}
 	return false
 }
 
-// errFull is the refusal of a request for which there is no slot in time.
+// errFull returns the error for a request that cannot get a slot in time.
 func errFull(retryAfter time.Duration) *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.ReasonQueueFull, retryAfter)
 }
--- a/core/dispatch/pool_prop_test.go
+++ b/core/dispatch/pool_prop_test.go
@@ -21,8 +21,8 @@
 	propSteps = 4000
 	maxVMs    = 5
 	// stepUnit makes a step take 25 ms on average.
-	stepUnit  = 200 * time.Microsecond
-	beatEvery = 500 * time.Millisecond
+	stepUnit          = 200 * time.Microsecond
+	heartbeatInterval = 500 * time.Millisecond
 )
 
 var (
@@ -36,27 +36,27 @@
 	}
 )
 
-// zoneVM is one VM of the zone under test: the real table and pool.
+// zoneVM is one VM of the zone under test, with a real member table and pool.
 type zoneVM struct {
-	name     string
-	table    *member.Table
-	pool     *dispatch.Pool
-	lastBeat time.Time
-	paused   bool
-	leaving  bool
-	inUse    []*inventory.Target
+	name          string
+	table         *member.Table
+	pool          *dispatch.Pool
+	lastHeartbeat time.Time
+	paused        bool
+	leaving       bool
+	inUse         []*inventory.Target
 }
 
-// zone is an availability zone whose VMs join, leave, pause, die and are cut
-// off from each other, while requests come and go.
+// zone is an availability zone whose VMs join, leave, pause, crash and are
+// partitioned while requests start and end.
 type zone struct {
-	now  time.Time
-	vms  []*zoneVM
-	made int
-	cut  map[string]bool
-	list []member.Listed // The platform's list, as it was a while ago.
-	fail string
-	took int // Requests that got a slot.
+	now     time.Time
+	vms     []*zoneVM
+	created int
+	cut     map[string]bool // Pairs of VM names that cannot exchange state.
+	list    []member.Listed // The platform's list, possibly out of date.
+	fail    string
+	granted int // Requests that got a slot.
 }
 
 func newZone() *zone {
@@ -71,18 +71,18 @@
 	if len(z.vms) == maxVMs {
 		return
 	}
-	z.made++
-	name := fmt.Sprintf("vm%d", z.made)
+	z.created++
+	name := fmt.Sprintf("vm%d", z.created)
 	vm := &zoneVM{name: name, pool: dispatch.NewPool(name)}
-	vm.table = member.NewTable(name, "z", uint64(z.made), z.now)
+	vm.table = member.NewTable(name, "z", uint64(z.created), z.now)
 	vm.table.SetListed(z.now, z.list)
 	z.vms = append(z.vms, vm)
-	// The platform lists a VM before it starts; who reads the list lags.
+	// The platform lists a VM before it starts; the VMs read the list later.
 	z.renewList()
 }
 
-// renewList brings the platform's list up to date with what runs. Whoever
-// reads it next sees it; until then they have the old one.
+// renewList updates the platform's list to the running VMs. Each VM keeps its
+// old copy until it reads the list again.
 func (z *zone) renewList() {
 	z.list = nil
 	for _, vm := range z.vms {
@@ -90,12 +90,12 @@
 	}
 }
 
-func (vm *zoneVM) beat(now time.Time) {
+func (vm *zoneVM) heartbeat(now time.Time) {
 	vm.table.Tick(now)
-	fresh := vm.table.Fresh(now, propHold)
+	synced := vm.table.Fresh(now, propHold)
 	view := dispatch.View{
-		Targets: propTargets, Services: propRules, Live: vm.table.Dispatching(now, fresh),
-		Seq: vm.table.NextSeq(), Fresh: fresh,
+		Targets: propTargets, Services: propRules, Live: vm.table.Dispatching(now, synced),
+		Seq: vm.table.NextSeq(), Fresh: synced,
 	}
 	for _, m := range vm.table.Mates(now) {
 		view.Mates = append(view.Mates, dispatch.MateView{
@@ -103,10 +103,11 @@
 		})
 	}
 	held := vm.pool.Tick(now, view)
-	vm.table.Publish(now, member.VM{Name: vm.name, Zone: "z", Leaving: vm.leaving, Dispatches: fresh, Held: held, Pending: vm.pool.Pending()})
+	vm.table.Publish(now, member.VM{Name: vm.name, Zone: "z", Leaving: vm.leaving, Dispatches: synced, Held: held, Pending: vm.pool.Pending()})
 }
 
-// exchange brings a level with b; half says that the way back is lost.
+// exchange synchronizes the tables of a and b. If half is set, b's reply is
+// lost.
 func (z *zone) exchange(a, b *zoneVM, half bool) {
 	if a == b || a.paused || b.paused || z.cut[a.name+b.name] {
 		return
@@ -119,7 +120,8 @@
 	}
 }
 
-func (z *zone) release(vm *zoneVM) {
+// finish ends the VM's oldest request.
+func (z *zone) finish(vm *zoneVM) {
 	if len(vm.inUse) == 0 {
 		return
 	}
@@ -128,22 +130,22 @@
 	vm.pool.Done(z.now, t.Name, dispatch.Sample{Took: time.Millisecond})
 }
 
-// end ends a VM, killed or having left; its upstreams see the connections
-// break. The platform's list has it until it is renewed.
-func (z *zone) end(vm *zoneVM) {
+// remove ends a VM that crashed or has left. The upstreams' connections to it
+// break. The platform's list contains it until the list is renewed.
+func (z *zone) remove(vm *zoneVM) {
 	if len(z.vms) > 1 {
 		z.vms = slices.DeleteFunc(z.vms, func(v *zoneVM) bool { return v == vm })
 	}
 }
 
-// step lets some time pass, in which those VMs beat that are due, and does one
-// thing chosen by the number. Requests are common, failures rare.
+// step advances the time, runs the heartbeats that are due and does one action
+// chosen by n. Requests are frequent and failures rare.
 func (z *zone) step(n uint32) {
 	z.now = z.now.Add(time.Duration(n>>24) * stepUnit)
 	for i, vm := range z.vms {
-		if !vm.paused && z.now.Sub(vm.lastBeat) >= beatEvery {
-			vm.lastBeat = z.now
-			vm.beat(z.now)
+		if !vm.paused && z.now.Sub(vm.lastHeartbeat) >= heartbeatInterval {
+			vm.lastHeartbeat = z.now
+			vm.heartbeat(z.now)
 			z.exchange(vm, z.vms[(i+1+int(n>>8))%len(z.vms)], n&(1<<20) == 0)
 			z.exchange(vm, z.vms[(i+2+int(n>>12))%len(z.vms)], false)
 		}
@@ -152,14 +154,14 @@
 	other := z.vms[int(n>>16)%len(z.vms)]
 	switch op := n % 256; {
 	case op < 100:
-		z.take(vm)
+		z.fill(vm)
 	case op < 220:
-		z.release(vm)
+		z.finish(vm)
 	case op == 220:
 		vm.paused = true
 	case op < 224:
 		other.paused = false
-		z.take(other)
+		z.fill(other)
 	case op == 224:
 		z.cut[vm.name+other.name], z.cut[other.name+vm.name] = true, n&(1<<23) == 0
 	case op < 230:
@@ -174,19 +176,19 @@
 		vm.leaving = vm.leaving || n&(3<<21) == 0
 	case op == 250:
 		if n&(3<<21) == 0 {
-			z.end(vm)
+			z.remove(vm)
 		}
 	default:
 		if vm.leaving && len(vm.inUse) == 0 {
-			z.end(vm)
+			z.remove(vm)
 		}
 	}
 	z.check()
 }
 
-// take fills whatever the VM may hand out. A VM that wakes from a pause tries
-// before it has had its next heartbeat.
-func (z *zone) take(vm *zoneVM) {
+// fill starts requests until the VM has no free slot. After a pause this
+// happens before the VM's next heartbeat.
+func (z *zone) fill(vm *zoneVM) {
 	if vm.paused {
 		return
 	}
@@ -196,7 +198,7 @@
 			return
 		}
 		vm.inUse = append(vm.inUse, t)
-		z.took++
+		z.granted++
 	}
 }
 
@@ -211,35 +213,35 @@
 			}
 		}
 		if n > t.Slots && z.fail == "" {
-			z.fail = fmt.Sprintf("%s has %d slots and runs %d requests", t.Name, t.Slots, n)
+			z.fail = fmt.Sprintf("%s has %d slots but runs %d requests", t.Name, t.Slots, n)
 		}
 	}
 }
 
-// VMs of a zone join, leave, die, wake from pauses and are cut off from each
-// other, in any order, while the platform's list lags. An upstream must never
-// be sent more requests at once than it has slots: it would slow down for all
-// of its callers, and shed. One thing is assumed of the platform: a VM that it
-// takes off its list runs no more.
-func TestSlotsInUseNeverExceedWhatThereIs(t *testing.T) {
+// VMs of a zone join, leave, crash, resume after pauses and are partitioned, in
+// any order, while the platform's list is out of date. An upstream must never
+// get more concurrent requests than it has slots: it would slow down for all of
+// its callers and shed load. The test assumes that a VM which the platform has
+// removed from its list no longer runs.
+func TestSlotsInUseNeverExceedUpstreamSlots(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(propSeed)
 	params.MinSuccessfulTests = propRuns
 	properties := gopter.NewProperties(params)
-	taken := 0
+	granted := 0
 	properties.Property("in use <= slots", prop.ForAllNoShrink(
 		func(steps []uint32) string {
 			z := newZone()
 			for _, n := range steps {
 				z.step(n)
 			}
-			taken += z.took
+			granted += z.granted
 			return z.fail
 		},
 		gen.SliceOfN(propSteps, gen.UInt32()),
 	))
 	properties.TestingRun(t)
-	if taken == 0 {
-		t.Errorf("no request ever got a slot: the property was not tried")
+	if granted == 0 {
+		t.Errorf("no request got a slot, so the property was not tested")
 	}
-	t.Logf("%d requests got a slot in %d runs", taken, propRuns)
+	t.Logf("%d requests got a slot in %d runs", granted, propRuns)
 }
--- a/core/dispatch/pool_test.go
+++ b/core/dispatch/pool_test.go
@@ -20,12 +20,12 @@
 	three   = &inventory.Target{Name: "t3", Service: "istoric", Slots: 3}
 )
 
-// alone is the view of a VM that is the only one of its zone.
+// alone returns the view of a VM that is the only one of its zone.
 func alone(seq uint64, targets ...*inventory.Target) View {
 	return View{Targets: targets, Services: []*inventory.Service{istoric}, Live: []string{"a"}, Seq: seq, Fresh: true}
 }
 
-// newPool returns a pool that has all slots of the targets at time 1.
+// newPool returns a pool that has all slots of the targets in force at time 1.
 func newPool(targets ...*inventory.Target) *Pool {
 	p := NewPool("a")
 	p.Tick(at(0.5), alone(1, targets...))
@@ -33,6 +33,7 @@
 	return p
 }
 
+// offers takes all free slots and returns the names of their targets.
 func offers(p *Pool, now time.Time) (got []string) {
 	for {
 		t, ok := p.Offer(now, "istoric")
@@ -65,23 +66,22 @@
 	p := newPool(four, three)
 	got := offers(p, at(1))
 	if len(got) != 7 {
-		t.Fatalf("%d slots handed out, want 7", len(got))
+		t.Fatalf("%d slots granted, want 7", len(got))
 	}
 	if got[0] == got[1] {
-		t.Errorf("the first two requests went to %s both", got[0])
+		t.Errorf("both of the first two requests went to %s", got[0])
 	}
 }
 
-// A VM is paused, its mates take its slots over, and it wakes in the middle of
-// handing out a slot, before any heartbeat could tell it. Two VMs would fill
-// the same slots.
+// A VM is paused, its peers take over its slots, and it resumes while it grants
+// a slot, before its next heartbeat. Two VMs would use the same slots.
 func TestPausedVMHandsOutNothingUntilItsNextTick(t *testing.T) {
 	p := newPool(four)
 	if _, ok := p.Offer(at(1+FenceAfter.Seconds()+0.1), "istoric"); ok {
-		t.Errorf("a VM that was paused handed out a slot before its next tick")
+		t.Errorf("a VM that was paused granted a slot before its next tick")
 	}
 	if _, err := p.Queue(at(60), "istoric", at(61)); verdict.Of(err) != verdict.NotRun {
-		t.Errorf("queueing at a paused VM = %v, want NotRun", err)
+		t.Errorf("Queue of a paused VM = %v, want NotRun", err)
 	}
 	view := alone(3, four)
 	view.Fresh = false
@@ -90,8 +90,8 @@
 	}
 }
 
-// An upstream says that it leaves. It must get nothing new from then on, and
-// what it runs must go on.
+// An upstream that reports Leaving must get no new requests, and those in
+// flight go on.
 func TestLeavingUpstreamGetsNothingNew(t *testing.T) {
 	p := newPool(four, three)
 	p.Probed(at(1), "t4", Leaving)
@@ -102,24 +102,25 @@
 	}
 }
 
-// Every upstream of a service fails its probes at once: the fault is likelier
-// in the probing VM's network. Callers must not be refused for it.
-func TestWhenMostLookDeadTheEvidenceIsDistrusted(t *testing.T) {
+// Every upstream of a service fails its probes at once. The fault is more
+// likely in the network of the probing VM, and callers must not be refused for
+// it.
+func TestDownIsIgnoredWhenMostUpstreamsAreDown(t *testing.T) {
 	p := newPool(four, three)
 	p.Probed(at(1), "t4", Down)
 	if got := len(offers(p, at(1))); got != 3 {
-		t.Errorf("with one of two down %d slots, want 3", got)
+		t.Errorf("with one of two upstreams down: %d slots, want 3", got)
 	}
 	p = newPool(four, three)
 	p.Probed(at(1), "t4", Down)
 	p.Probed(at(1), "t3", Down)
 	if got := len(offers(p, at(1))); got != 7 {
-		t.Errorf("with both down %d slots, want 7", got)
+		t.Errorf("with both upstreams down: %d slots, want 7", got)
 	}
 }
 
-// A new upstream has cold caches. Were it sent its full share at once, the
-// callers sent there would all wait.
+// A new upstream has cold caches. If it got its full share at once, all of the
+// callers sent there would wait.
 func TestColdUpstreamWarmsUp(t *testing.T) {
 	p := newPool(four)
 	p.Probed(at(1), "t4", Cold)
@@ -128,7 +129,7 @@
 	}
 	p.Tick(at(11), alone(3, four))
 	if got := len(offers(p, at(12))); got != 1 {
-		t.Errorf("half warm: %d more slots, want 1", got)
+		t.Errorf("half warmed up: %d more slots, want 1", got)
 	}
 }
 
@@ -149,13 +150,13 @@
 	}
 	p.Cancel(at(1.2), first)
 	if len(second.Granted) != 1 {
-		t.Errorf("a slot granted to one who waits no more was not passed on")
+		t.Errorf("the slot of a canceled ticket was not granted to the next ticket")
 	}
 }
 
-// A queue is longer than its last caller can wait. It must hear so at once and
-// not when its time is over.
-func TestHopelessWaitIsRefusedAtOnce(t *testing.T) {
+// A queue is too long for the next request to get a slot in time. The request
+// must be refused immediately and not when its time is over.
+func TestTooLongWaitIsRefusedImmediately(t *testing.T) {
 	p := newPool(three)
 	offers(p, at(1))
 	p.Done(at(2), "t3", Sample{Took: time.Second})
@@ -172,27 +173,30 @@
 	}
 }
 
-// Twice as many callers come as a zone can serve. Those who are let into the
-// queue must get a slot; half of them were held for all of their time and then
-// refused. (Seen under load: refusals after 530 ms of a wait of 500 ms.)
-func TestWhoIsLetInIsServed(t *testing.T) {
-	const took, patience = 0.04, 0.5
-	const between = 1.15 // A slot's next request begins a little later than the last ends.
+// A zone gets twice the load that it can serve. Requests that are queued must
+// get a slot in time. If requests were queued whose expected wait is all of
+// their time, half of them would expire in the queue: under load, requests with
+// a maximum wait of 500 ms were refused after 530 ms.
+func TestQueuedRequestsGetASlotInTime(t *testing.T) {
+	const took, maxWait = 0.04, 0.5 // In seconds.
+	// Slot time per request as a multiple of took: a slot's next request begins
+	// slightly after the previous one ends.
+	const turnaround = 1.15
 	p := newPool(four)
 	var waiting []*Ticket
 	busy, done := 0, 0.0
 	served, refused, expired := 0, 0, 0
 	for i := range 4000 {
-		now := 1 + float64(i)*took/8 // Eight arrive in the time four are served.
+		now := 1 + float64(i)*took/8 // Eight requests arrive while four are served.
 		p.lastTick = at(now)
 		if _, ok := p.Offer(at(now), "istoric"); ok {
 			busy++
-		} else if ticket, err := p.Queue(at(now), "istoric", at(now+patience)); err == nil {
+		} else if ticket, err := p.Queue(at(now), "istoric", at(now+maxWait)); err == nil {
 			waiting = append(waiting, ticket)
 		} else {
 			refused++
 		}
-		if done += 0.5 / between; done >= 1 && busy > 0 {
+		if done += 0.5 / turnaround; done >= 1 && busy > 0 {
 			done--
 			p.Done(at(now), "t4", Sample{Took: time.Duration(took * float64(time.Second))})
 			busy--
@@ -212,12 +216,12 @@
 		waiting = rest
 	}
 	if expired > 0 || refused < 1500 || served < 1500 {
-		t.Errorf("served %d, refused at once %d, held in vain %d; want none held in vain", served, refused, expired)
+		t.Errorf("served %d, refused immediately %d, expired %d; want none expired", served, refused, expired)
 	}
 }
 
-// All upstreams of a region shed. Were each request tried three times, the
-// region would get three times its load. The budget adds its share at most.
+// All upstreams of a region shed. With three tries per request the region would
+// get three times its load. The budget must limit the retries to its share.
 func TestRetryStormStaysWithinTheBudget(t *testing.T) {
 	const requests, share = 10_000, 0.1
 	var b Budget
@@ -231,16 +235,16 @@
 			}
 		}
 	}
-	if retries > requests*share+firstCredit || retries < requests*share/2 {
-		t.Errorf("%d retries of %d requests, want at most %v and not far below", retries, requests, requests*share)
+	if retries > requests*share+initialCredit || retries < requests*share/2 {
+		t.Errorf("%d retries of %d requests, want at most %v and at least half of that", retries, requests, requests*share)
 	}
 }
 
-// Guards against requests to an upstream that has asked for a pause.
+// An upstream that has asked for a pause must get no requests until it is over.
 func TestPausedUpstreamGetsNothing(t *testing.T) {
 	p := newPool(four)
 	if _, ok := p.Offer(at(1), "istoric"); !ok {
-		t.Fatal("no slot")
+		t.Fatal("Offer found no free slot")
 	}
 	shed := verdict.New(verdict.NotRun, verdict.ReasonShed, time.Second)
 	p.Done(at(1.1), "t4", Sample{Err: shed, Shed: true, Pause: 3 * time.Second})
@@ -248,11 +252,11 @@
 	for _, seconds := range []float64{1.2, 2.5, 4} {
 		p.Tick(at(seconds), alone(3, four))
 		if got := offers(p, at(seconds)); len(got) > 0 {
-			t.Errorf("%d requests %v s after the start, in the pause", len(got), seconds)
+			t.Errorf("%d requests during the pause, %v s after the start", len(got), seconds)
 		}
 	}
 	p.Tick(at(4.2), alone(4, four))
 	if got := offers(p, at(4.2)); len(got) == 0 {
-		t.Error("nothing after the pause")
+		t.Error("no request after the pause")
 	}
 }
--- a/core/dispatch/queue.go
+++ b/core/dispatch/queue.go
@@ -8,32 +8,34 @@
 	"auburnlatch/core/verdict"
 )
 
-// Waiting for a slot.
 const (
-	// AssumedTook stands for the time a request takes until one was measured.
+	// AssumedTook is the assumed duration of a request until one has been
+	// measured.
 	AssumedTook = 20 * time.Millisecond
-	// admitWithin is the part of its time that a request may be expected to
-	// wait. Were it the whole, half of those who wait at full load would wait in
-	// vain: held for all of their time, and refused then.
-	admitWithin = 0.75
-	// minRetryAfter is the shortest time a refused caller is sent away for.
+	// maxWaitShare is the longest expected wait at which a request is queued,
+	// as a share of the time it can wait. With the whole time, half of the
+	// queued requests would be refused at full load, and only after all of
+	// their time had passed.
+	maxWaitShare = 0.75
+	// minRetryAfter is the shortest time after which a refused caller is told
+	// to retry.
 	minRetryAfter = time.Second
 )
 
 // Ticket is a request that waits for a slot.
 type Ticket struct {
-	// Granted receives the target once, or is closed where this VM dispatches
-	// the service no longer.
+	// Granted receives the target once. It is closed if this VM no longer
+	// dispatches the service.
 	Granted chan *inventory.Target
-	// Until is when the wait is over. The holder of the ticket watches it.
+	// Until is when the wait ends. The owner of the ticket must watch it.
 	Until time.Time
 
 	service string
 }
 
-// Queue lets a request wait for a slot until the given time. It is refused at
-// once where the wait would be longer by all that is known: a request that is
-// given up on gets its answer when that is decided, not when its time is over.
+// Queue queues a request for a slot until the given time. It returns an error
+// at once if the expected wait is too long, so that a request that will not
+// get a slot is refused immediately and not when its time is over.
 func (p *Pool) Queue(now time.Time, serviceName string, until time.Time) (*Ticket, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -42,24 +44,24 @@
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoService, 0)
 	}
 	wait, ok := p.expectedWait(now, s)
-	if !ok || wait > time.Duration(admitWithin*float64(until.Sub(now))) {
+	if !ok || wait > time.Duration(maxWaitShare*float64(until.Sub(now))) {
 		return nil, errFull(max(minRetryAfter, wait))
 	}
 	t := &Ticket{Granted: make(chan *inventory.Target, 1), Until: until, service: serviceName}
 	s.queue = append(s.queue, t)
-	p.serve(now, s)
+	p.grantQueued(now, s)
 	return t, nil
 }
 
-// expectedWait is the time until a request that queues now would get a slot,
-// and false where no slot will come.
+// expectedWait returns the expected time until a request that is queued now
+// gets a slot. It reports false if no slots are usable.
 func (p *Pool) expectedWait(now time.Time, s *service) (time.Duration, bool) {
 	slots, took := 0, time.Duration(0)
-	trusting := s.trusting()
-	for _, h := range s.holdings {
-		if h.usable(now, trusting) {
-			slots += h.limit(now)
-			took = max(took, h.latency)
+	trusted := s.healthTrusted()
+	for _, a := range s.allocations {
+		if a.usable(now, trusted) {
+			slots += a.limit(now)
+			took = max(took, a.latency)
 		}
 	}
 	if slots == 0 || p.fenced(now) {
@@ -71,8 +73,8 @@
 	return took * time.Duration(len(s.queue)+1) / time.Duration(slots), true
 }
 
-// Cancel takes a ticket back whose holder waits no longer. A slot that was
-// granted meanwhile is given back.
+// Cancel removes a ticket whose owner has stopped waiting. A slot that it was
+// granted in the meantime is returned.
 func (p *Pool) Cancel(now time.Time, t *Ticket) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,54 +87,54 @@
 	}
 	select {
 	case target := <-t.Granted:
-		p.giveBack(now, target)
+		p.release(now, target)
 	default:
 	}
 }
 
-// giveBack returns a slot that nothing was sent on.
-func (p *Pool) giveBack(now time.Time, target *inventory.Target) {
+// release returns a slot on which no request was sent.
+func (p *Pool) release(now time.Time, target *inventory.Target) {
 	if target == nil {
 		return
 	}
-	h := p.holdings[target.Name]
-	if h == nil {
+	a := p.allocations[target.Name]
+	if a == nil {
 		return
 	}
-	h.inUse--
+	a.inUse--
 	if s := p.services[target.Service]; s != nil {
-		p.serve(now, s)
+		p.grantQueued(now, s)
 	}
 }
 
-// GiveBack returns a slot that nothing was sent on.
+// GiveBack returns a slot on which no request was sent.
 func (p *Pool) GiveBack(now time.Time, target *inventory.Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.giveBack(now, target)
+	p.release(now, target)
 }
 
-// serve hands free slots to those who wait longest. Who has waited past its
-// time is passed over; its holder has been told.
-func (p *Pool) serve(now time.Time, s *service) {
+// grantQueued grants free slots to queued requests in the order of arrival. It
+// drops expired tickets, whose owners have stopped waiting by themselves.
+func (p *Pool) grantQueued(now time.Time, s *service) {
 	for len(s.queue) > 0 {
 		t := s.queue[0]
 		if !now.Before(t.Until) {
 			s.queue = s.queue[1:]
 			continue
 		}
-		h := p.pick(now, s)
-		if h == nil {
+		a := p.pick(now, s)
+		if a == nil {
 			return
 		}
 		s.queue = s.queue[1:]
-		h.inUse++
-		t.Granted <- h.target
+		a.inUse++
+		t.Granted <- a.target
 	}
 }
 
-// refuseAll ends the wait of all who queue.
-func (s *service) refuseAll() {
+// closeQueue ends the wait of all queued requests without a slot.
+func (s *service) closeQueue() {
 	for _, t := range s.queue {
 		close(t.Granted)
 	}
--- a/core/dispatch/share.go
+++ b/core/dispatch/share.go
@@ -7,15 +7,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// SlotsPerDispatcher is how many slots of a service in a zone call for one
-// more dispatcher beyond the least number.
+// SlotsPerDispatcher is the number of a service's slots in a zone for which
+// there is one dispatcher, if that gives more than MinDispatchers.
 const SlotsPerDispatcher = 48
 
-// MinDispatchers of a (zone, service), where the zone has that many VMs.
+// MinDispatchers is the least number of dispatchers of a service in a zone, as
+// far as the zone has that many VMs.
 const MinDispatchers = 2
 
 // Rank returns the VMs ordered by rendezvous hashing for a subject: adding or
-// removing one VM moves no other past another.
+// removing a VM does not change the order of the others.
 func Rank(subject string, vms []string) []string {
 	list := make([]scored, len(vms))
 	for i, vm := range vms {
@@ -29,9 +30,9 @@
 	return ranked
 }
 
-// First returns the first n of Rank's order, at the cost of a hash for each VM: a VM asks
-// some twenty times a second who does what, and putting 300 in order takes ten times as
-// long.
+// First returns the first n VMs in the order of Rank without sorting them all.
+// A VM calls it about twenty times a second, and sorting 300 VMs takes ten
+// times as long.
 func First(subject string, vms []string, n int) []string {
 	first := make([]scored, 0, n+1)
 	for _, vm := range vms {
@@ -52,7 +53,7 @@
 	return names
 }
 
-// Before returns how many VMs come before one in Rank's order.
+// Before returns how many VMs come before vm in the order of Rank.
 func Before(subject string, vms []string, vm string) int {
 	own, n := scored{vm, hash(subject, vm)}, 0
 	for _, other := range vms {
@@ -69,8 +70,8 @@
 	score uint64
 }
 
-// compare orders VMs by score, the highest first. The names are looked at only where
-// scores are the same, which is hardly ever.
+// compare orders VMs by score, highest first, and by name where scores are
+// equal, which is rare.
 func (s scored) compare(other scored) int {
 	if s.score != other.score {
 		return cmp.Compare(other.score, s.score)
@@ -78,18 +79,18 @@
 	return cmp.Compare(s.vm, other.vm)
 }
 
-// Dispatchers returns the VMs among a zone's live ones that dispatch a
-// service whose upstreams in the zone have so many slots.
+// Dispatchers returns which of a zone's live VMs dispatch a service. slots is
+// the number of slots of the service's upstreams in the zone.
 func Dispatchers(service string, slots int, vms []string) []string {
 	n := max(MinDispatchers, (slots+SlotsPerDispatcher-1)/SlotsPerDispatcher)
 	ranked := Rank("dispatch/"+service, vms)
 	return ranked[:min(n, len(ranked))]
 }
 
-// Share returns how many of an upstream's slots belong to one of n
-// dispatchers, by its index. The shares of all n add up to slots. What does
-// not divide evenly goes round from an offset that depends on the upstream, so
-// that over many upstreams no dispatcher has more than another.
+// Share returns how many of an upstream's slots belong to the dispatcher at
+// index out of n. The shares of all n add up to slots. The remainder of the
+// division is handed out round robin, starting from an offset that depends on
+// the upstream, so that the dispatchers' totals over many upstreams are even.
 func Share(target string, slots, n, index int) int {
 	if n <= 0 || index < 0 || index >= n {
 		return 0
--- a/core/dispatch/share_test.go
+++ b/core/dispatch/share_test.go
@@ -9,8 +9,8 @@
 	"auburnlatch/core/dispatch"
 )
 
-// Who does what must be the same whether it is asked for by First, Before or Rank: two VMs
-// that disagree both do it, or neither.
+// First, Before and Rank must agree on the order of VMs. VMs choose who performs a task by
+// this order; if two of them disagree, both perform it or neither.
 func TestFirstAndBeforeAgreeWithRank(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
@@ -22,7 +22,7 @@
 		ranked := dispatch.Rank(subject, vms)
 		for n := range 5 {
 			if got, want := dispatch.First(subject, vms, n), ranked[:min(n, len(ranked))]; !slices.Equal(got, want) {
-				t.Fatalf("first %d of %v are %v, want %v", n, vms, got, want)
+				t.Fatalf("First(%d) of %v = %v, want %v", n, vms, got, want)
 			}
 		}
 		for _, vm := range vms {
@@ -33,7 +33,7 @@
 	}
 }
 
-// BenchmarkFirst and BenchmarkRank find two of 300 VMs.
+// BenchmarkFirst and BenchmarkRank find the first two of 300 VMs.
 func BenchmarkFirst(b *testing.B) {
 	vms := names(300)
 	for b.Loop() {
--- a/core/dispatch/weigh_test.go
+++ b/core/dispatch/weigh_test.go
@@ -12,19 +12,20 @@
 	"auburnlatch/core/inventory"
 )
 
-// The calculation's setting: exponential service times, requests that enter a
-// random VM, counts between VMs as old as an exchange.
+// Parameters of the simulation. Service times are exponentially distributed,
+// each request enters at a random VM, and the counts that VMs have of each
+// other are as old as their last exchange.
 const (
-	weighTook     = 20 * time.Millisecond
-	weighHop      = 500 * time.Microsecond
-	weighSlots    = 4
-	weighStale    = 100 * time.Millisecond
-	weighRequests = 60_000
-	weighPatience = 10 * time.Second
-	weighSeed     = 7
+	simTook     = 20 * time.Millisecond  // Mean service time.
+	simHop      = 500 * time.Microsecond // From one VM to another.
+	simSlots    = 4                      // Of each upstream.
+	simStale    = 100 * time.Millisecond // Between exchanges.
+	simRequests = 60_000
+	simMaxWait  = 10 * time.Second
+	simSeed     = 7
 )
 
-// event is something that happens at a time.
+// event is a function that runs at a simulated time.
 type event struct {
 	at time.Time
 	do func(now time.Time)
@@ -43,74 +44,76 @@
 	return last
 }
 
-// weighing is one run of one policy.
-type weighing struct {
+// simulation is one run of one policy.
+type simulation struct {
 	rnd     *rand.Rand
 	queue   events
-	waits   *hdrhistogram.Histogram
+	waits   *hdrhistogram.Histogram // In microseconds.
 	refused int
-	over    int
+	over    int // Requests that found all slots of their upstream in use.
 	inUse   map[string]int
 	served  int
 }
 
-func (w *weighing) after(now time.Time, d time.Duration, do func(time.Time)) {
-	heap.Push(&w.queue, event{now.Add(d), do})
+func (s *simulation) after(now time.Time, d time.Duration, do func(time.Time)) {
+	heap.Push(&s.queue, event{now.Add(d), do})
 }
 
-func (w *weighing) serviceTime() time.Duration {
-	return time.Duration(w.rnd.ExpFloat64() * float64(weighTook))
+func (s *simulation) serviceTime() time.Duration {
+	return time.Duration(s.rnd.ExpFloat64() * float64(simTook))
 }
 
-// serve runs a request on an upstream and counts what it finds there.
-func (w *weighing) serve(now, arrived time.Time, target string, done func(time.Time, time.Duration)) {
-	_ = w.waits.RecordValue(int64(now.Sub(arrived) / time.Microsecond))
-	w.served++
-	w.inUse[target]++
-	if w.inUse[target] > weighSlots {
-		w.over++
+// serve runs a request on an upstream and records its wait, and whether the
+// upstream had a free slot.
+func (s *simulation) serve(now, arrived time.Time, target string, done func(time.Time, time.Duration)) {
+	_ = s.waits.RecordValue(int64(now.Sub(arrived) / time.Microsecond))
+	s.served++
+	s.inUse[target]++
+	if s.inUse[target] > simSlots {
+		s.over++
 	}
-	took := w.serviceTime()
-	w.after(now, took, func(now time.Time) {
-		w.inUse[target]--
+	took := s.serviceTime()
+	s.after(now, took, func(now time.Time) {
+		s.inUse[target]--
 		done(now, took)
 	})
 }
 
-// policy takes a request that arrives.
+// policy handles the arrival of a request.
 type policy interface {
-	arrive(w *weighing, now time.Time)
+	arrive(s *simulation, now time.Time)
 }
 
-// pools is a policy on the real Pool: the dispatchers share all upstreams.
+// pools is a policy with real Pools, one for each dispatcher, which share all
+// upstreams.
 type pools struct {
 	list    []*Pool
 	vms     int
-	passOn  bool
-	waiting map[*Ticket]time.Time
-	owner   []*Ticket
+	forward bool // Offer a request to the other dispatchers before queueing it.
+	arrived map[*Ticket]time.Time
+	waiting []*Ticket
 }
 
-// newPools splits the upstreams over n dispatchers of vms VMs.
-func newPools(vms, upstreams, n int, passOn bool) *pools {
-	return newPoolsOf(vms, 0, upstreams, n, passOn)
+// newPools splits the upstreams between n dispatchers out of vms VMs.
+func newPools(vms, upstreams, n int, forward bool) *pools {
+	return newPoolsOf(vms, 0, upstreams, n, forward)
 }
 
-// newPoolsOf does the same for the upstreams from the first on.
-func newPoolsOf(vms, from, upstreams, n int, passOn bool) *pools {
-	p := &pools{vms: vms, passOn: passOn, waiting: map[*Ticket]time.Time{}}
+// newPoolsOf is like newPools, with upstreams numbered from from.
+func newPoolsOf(vms, from, upstreams, n int, forward bool) *pools {
+	p := &pools{vms: vms, forward: forward, arrived: map[*Ticket]time.Time{}}
 	var targets []*inventory.Target
 	for i := range upstreams {
-		targets = append(targets, &inventory.Target{Name: fmt.Sprint("t", from+i), Service: "istoric", Slots: weighSlots})
+		targets = append(targets, &inventory.Target{Name: fmt.Sprint("t", from+i), Service: "istoric", Slots: simSlots})
 	}
 	for i := range n {
 		pool := NewPool("vm")
 		s := &service{rules: istoric}
 		for _, t := range targets {
 			share := Share(t.Name, t.Slots, n, i)
-			h := &holding{target: t, inForce: share, intent: share}
-			pool.holdings[t.Name] = h
-			s.holdings = append(s.holdings, h)
+			a := &allocation{target: t, inForce: share, intent: share}
+			pool.allocations[t.Name] = a
+			s.allocations = append(s.allocations, a)
 		}
 		pool.services["istoric"] = s
 		p.list = append(p.list, pool)
@@ -118,105 +121,106 @@
 	return p
 }
 
-func (p *pools) arrive(w *weighing, now time.Time) {
+func (p *pools) arrive(s *simulation, now time.Time) {
 	arrived := now
-	vm := w.rnd.IntN(p.vms)
+	vm := s.rnd.IntN(p.vms)
 	first := vm
 	if vm >= len(p.list) {
-		first = w.rnd.IntN(len(p.list))
-		now = now.Add(weighHop)
+		first = s.rnd.IntN(len(p.list))
+		now = now.Add(simHop)
 	}
 	tries := 1
-	if p.passOn {
+	if p.forward {
 		tries = len(p.list)
 	}
 	for i := range tries {
 		pool := p.list[(first+i)%len(p.list)]
 		pool.lastTick = now
 		if t, ok := pool.Offer(now, "istoric"); ok {
-			p.run(w, pool, now.Add(time.Duration(i)*weighHop), arrived, t)
+			p.run(s, pool, now.Add(time.Duration(i)*simHop), arrived, t)
 			return
 		}
 	}
 	pool := p.list[first]
-	t, err := pool.Queue(now, "istoric", now.Add(weighPatience))
+	t, err := pool.Queue(now, "istoric", now.Add(simMaxWait))
 	if err != nil {
-		w.refused++
+		s.refused++
 		return
 	}
-	p.waiting[t] = arrived
-	p.owner = append(p.owner, t)
-	p.collect(w, pool, now)
+	p.arrived[t] = arrived
+	p.waiting = append(p.waiting, t)
+	p.runGranted(s, pool, now)
 }
 
-func (p *pools) run(w *weighing, pool *Pool, now, arrived time.Time, t *inventory.Target) {
-	w.serve(now, arrived, t.Name, func(now time.Time, took time.Duration) {
+func (p *pools) run(s *simulation, pool *Pool, now, arrived time.Time, t *inventory.Target) {
+	s.serve(now, arrived, t.Name, func(now time.Time, took time.Duration) {
 		pool.lastTick = now
 		pool.Done(now, t.Name, Sample{Took: took})
-		p.collect(w, pool, now)
+		p.runGranted(s, pool, now)
 	})
 }
 
-// collect starts what the pool has granted to those who wait.
-func (p *pools) collect(w *weighing, pool *Pool, now time.Time) {
-	rest := p.owner[:0]
-	for _, t := range p.owner {
+// runGranted runs the waiting requests that have been granted a slot.
+func (p *pools) runGranted(s *simulation, pool *Pool, now time.Time) {
+	rest := p.waiting[:0]
+	for _, t := range p.waiting {
 		select {
 		case target := <-t.Granted:
-			p.run(w, pool, now, p.waiting[t], target)
-			delete(p.waiting, t)
+			p.run(s, pool, now, p.arrived[t], target)
+			delete(p.arrived, t)
 		default:
 			rest = append(rest, t)
 		}
 	}
-	p.owner = rest
+	p.waiting = rest
 }
 
-// twoChoices sends each request straight to the less used of two upstreams, by
-// counts that are as old as an exchange.
+// twoChoices sends each request directly to the less used of two random
+// upstreams, by counts that are updated every simStale.
 type twoChoices struct {
 	upstreams int
 	seen      map[string]int
 	seenAt    time.Time
 }
 
-func (p *twoChoices) arrive(w *weighing, now time.Time) {
-	if now.Sub(p.seenAt) >= weighStale {
+func (p *twoChoices) arrive(s *simulation, now time.Time) {
+	if now.Sub(p.seenAt) >= simStale {
 		p.seen, p.seenAt = map[string]int{}, now
-		for name, n := range w.inUse {
+		for name, n := range s.inUse {
 			p.seen[name] = n
 		}
 	}
-	a, b := fmt.Sprint("t", w.rnd.IntN(p.upstreams)), fmt.Sprint("t", w.rnd.IntN(p.upstreams))
+	a, b := fmt.Sprint("t", s.rnd.IntN(p.upstreams)), fmt.Sprint("t", s.rnd.IntN(p.upstreams))
 	if p.seen[b] < p.seen[a] {
 		a = b
 	}
-	w.serve(now, now, a, func(time.Time, time.Duration) {})
+	s.serve(now, now, a, func(time.Time, time.Duration) {})
 }
 
-// weigh runs a policy at a load and returns the run.
-func weigh(p policy, upstreams int, load float64) *weighing {
-	w := &weighing{rnd: rand.New(rand.NewPCG(weighSeed, 1)), waits: hdrhistogram.New(1, 60_000_000, 3), inUse: map[string]int{}}
-	every := float64(weighTook) / (load * float64(upstreams*weighSlots))
+// simulate runs a policy at a load, given as a fraction of the slots.
+func simulate(p policy, upstreams int, load float64) *simulation {
+	s := &simulation{rnd: rand.New(rand.NewPCG(simSeed, 1)), waits: hdrhistogram.New(1, 60_000_000, 3), inUse: map[string]int{}}
+	interval := float64(simTook) / (load * float64(upstreams*simSlots))
 	now := start
-	for range weighRequests {
-		now = now.Add(time.Duration(w.rnd.ExpFloat64() * every))
-		heap.Push(&w.queue, event{now, func(now time.Time) { p.arrive(w, now) }})
+	for range simRequests {
+		now = now.Add(time.Duration(s.rnd.ExpFloat64() * interval))
+		heap.Push(&s.queue, event{now, func(now time.Time) { p.arrive(s, now) }})
 	}
-	for len(w.queue) > 0 {
-		e := heap.Pop(&w.queue).(event)
+	for len(s.queue) > 0 {
+		e := heap.Pop(&s.queue).(event)
 		e.do(e.at)
 	}
-	return w
+	return s
 }
 
-// BenchmarkWeigh compares the ways to share an upstream's slots between VMs, in
-// a calculation on the real Pool. Waits are in milliseconds. Ideal is one queue
-// before all slots; Dispatchers is what is in use; SplitAll gives every VM a
-// part; OneOwner gives each upstream to one VM; TwoChoices has no slots.
-func BenchmarkWeigh(b *testing.B) {
+// BenchmarkSlotPolicies simulates ways to share upstreams' slots between VMs,
+// with real Pools. Waits are in milliseconds. Ideal has one queue for all
+// slots. Dispatchers is the policy of this package. SplitAll gives every VM a
+// share of each upstream. OneOwner gives each upstream to one VM. TwoChoices
+// limits nothing by slots.
+func BenchmarkSlotPolicies(b *testing.B) {
 	for _, size := range []struct{ vms, upstreams int }{{2, 3}, {8, 13}, {44, 13}, {44, 40}} {
-		n := min(size.vms, max(MinDispatchers, (size.upstreams*weighSlots+SlotsPerDispatcher-1)/SlotsPerDispatcher))
+		n := min(size.vms, max(MinDispatchers, (size.upstreams*simSlots+SlotsPerDispatcher-1)/SlotsPerDispatcher))
 		for _, load := range []float64{0.7, 0.9, 1.1} {
 			for _, c := range []struct {
 				name string
@@ -229,21 +233,22 @@
 				{"TwoChoices", func() policy { return &twoChoices{upstreams: size.upstreams} }},
 			} {
 				b.Run(fmt.Sprintf("VMs=%d/Upstreams=%d/Load=%.1f/%s", size.vms, size.upstreams, load, c.name), func(b *testing.B) {
-					var w *weighing
+					var s *simulation
 					for b.Loop() {
-						w = weigh(c.make(), size.upstreams, load)
+						s = simulate(c.make(), size.upstreams, load)
 					}
-					b.ReportMetric(w.waits.Mean()/1000, "ms-mean")
-					b.ReportMetric(float64(w.waits.ValueAtQuantile(99))/1000, "ms-p99")
-					b.ReportMetric(100*float64(w.over)/float64(w.served), "%over")
-					b.ReportMetric(100*float64(w.refused)/weighRequests, "%refused")
+					b.ReportMetric(s.waits.Mean()/1000, "ms-mean")
+					b.ReportMetric(float64(s.waits.ValueAtQuantile(99))/1000, "ms-p99")
+					b.ReportMetric(100*float64(s.over)/float64(s.served), "%over")
+					b.ReportMetric(100*float64(s.refused)/simRequests, "%refused")
 				})
 			}
 		}
 	}
 }
 
-// owners gives each upstream a queue of its own, and each request a random one.
+// owners is a policy with a Pool for each upstream, which gets requests at
+// random.
 type owners struct{ each []*pools }
 
 func newOwners(upstreams int) *owners {
@@ -254,6 +259,6 @@
 	return o
 }
 
-func (o *owners) arrive(w *weighing, now time.Time) {
-	o.each[w.rnd.IntN(len(o.each))].arrive(w, now)
+func (o *owners) arrive(s *simulation, now time.Time) {
+	o.each[s.rnd.IntN(len(o.each))].arrive(s, now)
 }
