--- a/core/steer/demand.go
+++ b/core/steer/demand.go
@@ -12,12 +12,12 @@
 // demandWindow is the time constant of the moving average of demand.
 const demandWindow = 5 * time.Second
 
-// minDemand is the demand below which an entry is forgotten, in slots.
+// minDemand is the demand, in slots, below which an idle flow is dropped.
 const minDemand = 0.001
 
-// Meter measures how many slots the callers of each origin ask for: the slots
-// they hold, on average over time, plus what those who were refused would have
-// held. It is safe for concurrent use; the zero value is ready.
+// Meter measures the demand of each origin in slots: the moving average of the
+// slots that its requests hold, plus those that its refused requests would have
+// held. It is safe for concurrent use; the zero value is ready to use.
 type Meter struct {
 	mu    sync.Mutex
 	flows map[flowKey]*flow
@@ -25,7 +25,8 @@
 
 type flowKey struct{ service, origin string }
 
-// flow integrates the slots held by one origin's requests.
+// flow integrates the slots held by one origin's requests to one service over
+// time.
 type flow struct {
 	held    int
 	at      time.Time
@@ -34,6 +35,8 @@
 	average float64
 }
 
+// flow returns the flow of an origin's requests to a service, integrated up to
+// now.
 func (m *Meter) flow(now time.Time, service, origin string) *flow {
 	if m.flows == nil {
 		m.flows = map[flowKey]*flow{}
@@ -56,21 +59,22 @@
 	m.flow(now, service, origin).held++
 }
 
-// Leave counts a request that gave its slot back.
+// Leave counts a request that returned its slot.
 func (m *Meter) Leave(now time.Time, service, origin string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.flow(now, service, origin).held--
 }
 
-// Refused counts a request that got no slot and would have held one so long.
+// Refused counts a request that got no slot, and would have held one for took.
 func (m *Meter) Refused(now time.Time, service, origin string, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.flow(now, service, origin).area += took.Seconds()
 }
 
-// Sample takes the averages up to now, sorted by service and origin.
+// Sample updates the averages and returns the demands, sorted by service and
+// origin.
 func (m *Meter) Sample(now time.Time) []member.Demand {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -90,6 +94,7 @@
 	return list
 }
 
+// sample adds the time since the last sample to the moving average.
 func (f *flow) sample(now time.Time) {
 	passed := now.Sub(f.sampled)
 	if passed <= 0 {
--- a/core/steer/example_test.go
+++ b/core/steer/example_test.go
@@ -7,8 +7,8 @@
 	"auburnlatch/core/steer"
 )
 
-// A zone's callers ask for 15 slots and the zone has 10: the rest goes to the
-// next zone, at most a fifth of the traffic within a minute.
+// A zone's callers need 15 slots and the zone has 10. The rest goes to the next
+// zone, with at most a fifth of the traffic moved within a minute.
 func ExampleRow_Move() {
 	wanted := steer.Solve(steer.Problem{
 		Supplies: []steer.ZoneSupply{{Zone: "nord", Slots: 10}, {Zone: "sud", Slots: 10}},
--- a/core/steer/lookup_test.go
+++ b/core/steer/lookup_test.go
@@ -11,7 +11,8 @@
 	"auburnlatch/core/member"
 )
 
-// register is two zones a little apart and one far away, with a place each.
+// register returns an inventory of three zones. z1 and z2 are near each other and
+// have a place each; z3 is far away.
 func register(t testing.TB) *inventory.Inventory {
 	t.Helper()
 	ops := []inventory.Op{
@@ -30,7 +31,8 @@
 	return inv
 }
 
-func zoneOf(zone string, vms ...string) member.ZoneView {
+// newView returns the view of a zone with the given VMs.
+func newView(zone string, vms ...string) member.ZoneView {
 	v := member.ZoneView{Zone: zone}
 	for _, name := range vms {
 		v.VMs = append(v.VMs, member.Address{Name: name, Zone: zone, Caller: name + ":80"})
@@ -39,7 +41,7 @@
 }
 
 func TestLookup(t *testing.T) {
-	views := []member.ZoneView{zoneOf("z1", "a", "b"), zoneOf("z2", "c"), zoneOf("z3", "d")}
+	views := []member.ZoneView{newView("z1", "a", "b"), newView("z2", "c"), newView("z3", "d")}
 	l := NewLookups(nil, register(t), views, "z3")
 	for _, tc := range []struct {
 		addr, place, zone string
@@ -57,20 +59,20 @@
 		}
 	}
 	if got := l.Place("suceava").VMs; len(got) != 4 || got[2].Name != "c" || got[3].Name != "d" {
-		t.Errorf("VMs = %v, want the two of z1, then c, then d", got)
+		t.Errorf("VMs = %v, want the two of z1, then c and d", got)
 	}
 }
 
 func TestLookupsFollowChanges(t *testing.T) {
 	inv := register(t)
-	views := []member.ZoneView{zoneOf("z1", "a", "b"), zoneOf("z2", "c")}
+	views := []member.ZoneView{newView("z1", "a", "b"), newView("z2", "c")}
 	l := NewLookups(nil, inv, views, "z1")
-	views = []member.ZoneView{zoneOf("z1", "a", "b"), views[1]}
+	views = []member.ZoneView{newView("z1", "a", "b"), views[1]}
 	views[0].VMs[0].Leaving = true
 	l2 := NewLookups(l, inv, views, "z1")
 	addr := netip.MustParseAddr("10.1.2.3")
 	if got := l2.Lookup(addr).VMs; got[0].Name != "b" || len(got) != 2 {
-		t.Errorf("with a leaving: %v, want b and c", got)
+		t.Errorf("with VM a leaving: VMs = %v, want b and c", got)
 	}
 	moved, err := inv.Install(inventory.Change{Ops: []inventory.Op{
 		{Place: &inventory.Place{Name: "suceava", Zone: "z2", Blocks: []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")}}},
@@ -81,19 +83,19 @@
 	}
 	l3 := NewLookups(l2, moved, views, "z1")
 	if got := l3.Lookup(addr); got.Place != "" {
-		t.Errorf("a block that was taken away still answers %q", got.Place)
+		t.Errorf("Lookup of a removed block gives place %q", got.Place)
 	}
 	if got := l3.Lookup(netip.MustParseAddr("10.9.1.1")); got.Place != "suceava" || got.Zone != "z2" {
-		t.Errorf("the moved place answers %+v", got)
+		t.Errorf("Lookup of the changed place = %+v", got)
 	}
 	if got := l2.Lookup(addr).Place; got != "suceava" {
-		t.Errorf("the snapshot before has changed: %q", got)
+		t.Errorf("the previous snapshot has changed: place = %q, want suceava", got)
 	}
 }
 
-// comingSize is the size of letter 1: 130,000 blocks in 1,400 places, 105
-// zones of 44 VMs.
-func comingSize() (*inventory.Inventory, []member.ZoneView) {
+// largeInventory returns an inventory of the largest planned size, 130,000
+// blocks in 1,400 places and 105 zones, and the views of 44 VMs in each zone.
+func largeInventory() (*inventory.Inventory, []member.ZoneView) {
 	const blocks, places, zoneCount, perZone = 130_000, 1_400, 105, 44
 	var ops []inventory.Op
 	var views []member.ZoneView
@@ -104,7 +106,7 @@
 		for i := range perZone {
 			vms = append(vms, fmt.Sprintf("%s-%d", name, i))
 		}
-		views = append(views, zoneOf(name, vms...))
+		views = append(views, newView(name, vms...))
 	}
 	for p := range places {
 		place := &inventory.Place{Name: fmt.Sprint("p", p), Zone: fmt.Sprint("z", p%zoneCount)}
@@ -115,7 +117,7 @@
 		ops = append(ops, inventory.Op{Place: place})
 	}
 	inv := &inventory.Inventory{}
-	for _, op := range ops { // One by one, as New sorts by insertion.
+	for _, op := range ops { // As New, which also inserts the items one by one.
 		next, err := inv.Install(inventory.Change{Based: inv.Version, Ops: []inventory.Op{op}})
 		if err != nil {
 			panic(err)
@@ -125,10 +127,10 @@
 	return inv, views
 }
 
-// BenchmarkLookup is one look-up decision at the coming size.
+// BenchmarkLookup measures a lookup at the largest planned size.
 func BenchmarkLookup(b *testing.B) {
 	before := heap()
-	inv, views := comingSize()
+	inv, views := largeInventory()
 	l := NewLookups(nil, inv, views, "z0")
 	used := heap() - before
 	addrs := make([]netip.Addr, 1<<12)
@@ -148,7 +150,7 @@
 	runtime.KeepAlive(inv)
 }
 
-// heap returns the bytes in use after a collection.
+// heap returns the size of the heap, in bytes, after a garbage collection.
 func heap() int64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -156,10 +158,11 @@
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkNewLookups is what a change costs at the coming size: of one place,
-// and of one zone's VMs.
+// BenchmarkNewLookups measures a new snapshot at the largest planned size after
+// a change of one place, of one zone's VMs and of nothing, and the change of the
+// inventory itself.
 func BenchmarkNewLookups(b *testing.B) {
-	inv, views := comingSize()
+	inv, views := largeInventory()
 	l := NewLookups(nil, inv, views, "z0")
 	b.Run("Place", func(b *testing.B) {
 		place := *inv.Place("p7")
@@ -173,7 +176,7 @@
 	})
 	b.Run("ZoneVMs", func(b *testing.B) {
 		changed := append([]member.ZoneView(nil), views...)
-		changed[3] = zoneOf("z3", "new-1", "new-2")
+		changed[3] = newView("z3", "new-1", "new-2")
 		for b.Loop() {
 			NewLookups(l, inv, changed, "z0")
 		}
--- a/core/steer/problem.go
+++ b/core/steer/problem.go
@@ -8,28 +8,29 @@
 )
 
 const (
-	// unlinked is the round trip assumed between zones without a link.
-	unlinked = 500 * time.Millisecond
+	// unlinkedRTT is the round trip assumed between zones without a link.
+	unlinkedRTT = 500 * time.Millisecond
 	// LostAfter is the age of a zone's summary at which the zone counts as
-	// lost: nothing is known to serve there.
+	// lost: it is not known to have any usable slots.
 	LostAfter = 30 * time.Second
 )
 
-// ProblemFor states one service's problem as a VM sees it: from the summaries of
-// the zones and the demand they report. A zone that was never heard of since
-// the VM started, or whose VMs have just started themselves, counts as it is
-// registered until LostAfter has passed: otherwise, where all start together,
-// each zone takes the others for lost and moves its callers there and back.
+// ProblemFor returns the problem of one service as this VM sees it, from the
+// summaries that the zones have reported and the demand in them. Until LostAfter
+// after the VM's start, a zone that has reported nothing yet, or whose VMs have
+// just started, counts with all of its registered slots. Otherwise, if all zones
+// start together, each would treat the others as lost and move its callers away
+// and back.
 func ProblemFor(inv *inventory.Inventory, paths []Path, s *inventory.Service, views []member.ZoneView, sinceStart time.Duration) Problem {
 	p := Problem{HeadroomFloor: s.HeadroomFloor, Paths: paths}
-	heard := make(map[string]member.ZoneView, len(views))
+	byZone := make(map[string]member.ZoneView, len(views))
 	for _, v := range views {
-		heard[v.Zone] = v
+		byZone[v.Zone] = v
 	}
 	registered := registeredSlots(inv, s.Name)
 	for _, z := range inv.Zones {
 		supply := ZoneSupply{Zone: z.Name, Drained: inv.ZoneDrained(z.Name)}
-		v := heard[z.Name]
+		v := byZone[z.Name]
 		switch {
 		case sinceStart < LostAfter && (v.Load == nil || v.Load.Settled == 0):
 			supply.Slots = registered[z.Name]
@@ -46,8 +47,9 @@
 	return p
 }
 
-// Registered states the problem with all that is registered up and idle. Every
-// VM comes to the same weights from it, so a first VM starts from these.
+// Registered returns the problem of one service with all registered upstreams up
+// and idle. Every VM computes the same weights from it, so a row starts with them
+// if no peer had weights to restore.
 func Registered(inv *inventory.Inventory, paths []Path, s *inventory.Service) Problem {
 	p := Problem{HeadroomFloor: s.HeadroomFloor, Paths: paths}
 	registered := registeredSlots(inv, s.Name)
@@ -58,6 +60,7 @@
 	return p
 }
 
+// registeredSlots returns the slots of a service that are not drained, by zone.
 func registeredSlots(inv *inventory.Inventory, service string) map[string]float64 {
 	slots := make(map[string]float64, len(inv.Zones))
 	for _, t := range inv.Targets {
@@ -68,6 +71,7 @@
 	return slots
 }
 
+// demandOf returns the demand of an origin, summed over the zones' summaries.
 func demandOf(views []member.ZoneView, service, origin string) float64 {
 	var sum float64
 	for _, v := range views {
@@ -83,15 +87,16 @@
 	return sum
 }
 
-// PathBook keeps the paths of an inventory and sorts them anew only where zones
-// or links have changed. It is for one goroutine; the zero value is empty.
+// PathBook caches the sorted paths of an inventory. It sorts them again only if
+// zones or links have changed. It is not safe for concurrent use; the zero value
+// is empty.
 type PathBook struct {
 	inv   *inventory.Inventory
 	paths []Path
 }
 
-// Paths returns the paths between all pairs of zones, nearest first. They must
-// not be written to.
+// Paths returns the paths between all pairs of zones in the order of SortPaths.
+// The caller must not modify them.
 func (b *PathBook) Paths(inv *inventory.Inventory) []Path {
 	if b.inv != nil && sameSlice(b.inv.Zones, inv.Zones) && sameSlice(b.inv.Links, inv.Links) {
 		return b.paths
@@ -100,7 +105,7 @@
 	b.paths = make([]Path, 0, len(inv.Zones)*len(inv.Zones))
 	for _, from := range inv.Zones {
 		for _, to := range inv.Zones {
-			path := Path{Origin: from.Name, Zone: to.Name, RoundTrip: unlinked}
+			path := Path{Origin: from.Name, Zone: to.Name, RoundTrip: unlinkedRTT}
 			if from == to {
 				path.RoundTrip = 0
 			} else if link := inv.Link(from.Name, to.Name); link != nil {
@@ -113,16 +118,16 @@
 	return b.paths
 }
 
-// Exclude takes the supply of some zones away.
-func (p Problem) Exclude(out func(zone string) bool) {
+// Exclude removes the supply of the zones for which excluded returns true.
+func (p Problem) Exclude(excluded func(zone string) bool) {
 	for i := range p.Supplies {
-		if z := &p.Supplies[i]; out(z.Zone) {
+		if z := &p.Supplies[i]; excluded(z.Zone) {
 			z.Slots, z.InUse = 0, 0
 		}
 	}
 }
 
-// Lost returns the zones that cannot serve at all in a problem.
+// Lost returns the zones that have no slots.
 func (p Problem) Lost() map[string]bool {
 	lost := make(map[string]bool)
 	for _, z := range p.Supplies {
--- a/core/steer/problem_test.go
+++ b/core/steer/problem_test.go
@@ -8,10 +8,11 @@
 	"auburnlatch/core/member"
 )
 
-// All VMs of all zones start together. For some seconds no zone has a slot in
-// force, and each zone's callers were moved to whichever came up first, at the
-// failover cap, to come back at the ordinary one minutes later. (Seen in the
-// demo: 30 % of every zone's traffic went elsewhere after a start.)
+// All VMs of all zones start together. For some seconds no zone has any slots in
+// force. If such zones counted as lost, each zone's callers would be moved to
+// the zone that comes up first, at the failover cap, and back at the ordinary
+// cap minutes later. In the demo that moved 30 % of every zone's traffic after a
+// start.
 func TestZonesThatStartAreNotLost(t *testing.T) {
 	inv, err := inventory.New(
 		inventory.Op{Zone: &inventory.Zone{Name: "z1"}},
@@ -31,13 +32,13 @@
 		sinceStart time.Duration
 		want       float64
 	}{
-		{"never heard, just started", nil, 0, time.Second, 4},
-		{"never heard, long since", nil, 0, time.Hour, 0},
-		{"its VMs have just started, as this one", load(0, 0), 0, time.Second, 4},
-		{"its VMs do not come up", load(0, 0), 0, time.Hour, 0},
-		{"its upstreams are down", load(0, 2), 0, time.Second, 0},
-		{"as reported", load(3, 2), 0, time.Hour, 3},
-		{"reported long ago", load(3, 2), time.Minute, time.Hour, 0},
+		{"no report, this VM just started", nil, 0, time.Second, 4},
+		{"no report, this VM started long ago", nil, 0, time.Hour, 0},
+		{"its VMs and this VM just started", load(0, 0), 0, time.Second, 4},
+		{"its VMs still have no slots long after the start", load(0, 0), 0, time.Hour, 0},
+		{"its VMs are settled and its upstreams are down", load(0, 2), 0, time.Second, 0},
+		{"recent report", load(3, 2), 0, time.Hour, 3},
+		{"old report", load(3, 2), time.Minute, time.Hour, 0},
 	} {
 		views := []member.ZoneView{{Zone: "z1", Load: tc.load, LoadAge: tc.age}}
 		p := ProblemFor(inv, nil, inv.Services[0], views, tc.sinceStart)
--- a/core/steer/reach.go
+++ b/core/steer/reach.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// When requests that reach nobody count against a zone.
 const (
-	// cutAfter is how long every request to a zone must have failed.
-	cutAfter = 2 * time.Second
-	// cutFor is how long the last failure counts. By then a zone that is away
-	// is lost by the age of its summary, too.
-	cutFor = LostAfter
+	// unreachableAfter is how long all requests to a zone must have failed
+	// before it counts as unreachable.
+	unreachableAfter = 2 * time.Second
+	// unreachableFor is how long the last failure counts. After that time, an
+	// unreachable zone is also lost by the age of its summary.
+	unreachableFor = LostAfter
 )
 
-// Reach notes whether requests reach the VMs of each zone. What requests meet
-// outranks what the zone last said of itself: a summary takes LostAfter to show
-// that a zone is away, and until then its callers' requests would be refused. It
-// is safe for concurrent use; the zero value is ready.
+// Reach records whether requests reach the VMs of each zone. This takes
+// precedence over the zone's last summary, which shows only after LostAfter
+// that a zone is unreachable; until then requests sent there would be refused.
+// It is safe for concurrent use; the zero value is ready to use.
 type Reach struct {
 	mu    sync.Mutex
-	zones map[string]reached
+	zones map[string]failureRun // Zones whose last request failed.
 }
 
-// reached is a run of failures; none where first is zero.
-type reached struct {
+// failureRun is a run of failed requests. It is empty if first is zero.
+type failureRun struct {
 	first, last time.Time
 }
 
-// Note takes in whether a request reached a VM of the zone, refused or not.
+// Note records whether a request reached a VM of the zone. A request that the
+// VM refused has reached it.
 func (r *Reach) Note(now time.Time, zone string, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -37,20 +38,21 @@
 		return
 	}
 	if r.zones == nil {
-		r.zones = map[string]reached{}
+		r.zones = map[string]failureRun{}
 	}
 	z := r.zones[zone]
-	if z.first.IsZero() || now.Sub(z.last) > cutFor {
+	if z.first.IsZero() || now.Sub(z.last) > unreachableFor {
 		z.first = now
 	}
 	z.last = now
 	r.zones[zone] = z
 }
 
-// Cut reports whether the zone has been out of reach lately.
+// Cut reports whether the zone is unreachable: all requests to it have failed
+// for unreachableAfter, the last one within unreachableFor.
 func (r *Reach) Cut(now time.Time, zone string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	z, ok := r.zones[zone]
-	return ok && now.Sub(z.last) <= cutFor && z.last.Sub(z.first) >= cutAfter
+	return ok && now.Sub(z.last) <= unreachableFor && z.last.Sub(z.first) >= unreachableAfter
 }
--- a/core/steer/row.go
+++ b/core/steer/row.go
@@ -8,18 +8,19 @@
 	"time"
 )
 
-// Window is the time in which a row moves by at most its cap.
+// Window is the period within which a row moves by at most its cap.
 const Window = time.Minute
 
-// minMove is the smallest distance worth moving by; less is noise.
+// minMove is the smallest distance that a row moves by. Smaller distances are
+// rounding errors.
 const minMove = 1e-9
 
-// Weights is a distribution over availability zones: shares of 0 to 1 that
-// add up to 1. A zone that is absent has none.
+// Weights is a distribution over availability zones: shares from 0 to 1 that
+// add up to 1. A zone that is absent has a share of 0.
 type Weights map[string]float64
 
-// Distance returns the share of the traffic that goes elsewhere under b than
-// under a: half the sum of the differences.
+// Distance returns the share of the traffic that goes to a different zone under
+// b than under a: half the sum of the absolute differences.
 func Distance(a, b Weights) float64 {
 	var sum float64
 	for zone, w := range a {
@@ -33,26 +34,27 @@
 	return sum / 2
 }
 
-// Move is one past movement of a row.
+// Move is a past move of a row.
 type Move struct {
 	At time.Time
-	// Share of the traffic that was moved.
+	// Share is the share of the traffic that moved.
 	Share float64
 }
 
-// Limit bounds a row's movement.
+// Limit limits the moves of a row.
 type Limit struct {
-	// Cap is the share that may move within any Window.
+	// Cap is the share of the traffic that may move within any Window.
 	Cap float64
-	// FailoverCap replaces Cap for what leaves a zone in Lost; 0: it does not.
+	// FailoverCap replaces Cap for moves that take traffic away from a zone in
+	// Lost, if it is larger than Cap.
 	FailoverCap float64
-	// Lost are zones that cannot serve at all.
+	// Lost are the zones that cannot serve any requests.
 	Lost map[string]bool
 }
 
 // Row is the distribution in use for one (service, origin). It is safe for
-// concurrent use; the zero value is empty and takes over the first wanted
-// weights whole, since there is no traffic yet that could shift.
+// concurrent use. The zero value is empty; its first move goes to the wanted
+// weights at once, since there is no traffic yet that could shift.
 type Row struct {
 	mu      sync.Mutex
 	zones   []string  // Sorted.
@@ -61,7 +63,7 @@
 	moves   []Move    // Within the last Window, oldest first.
 }
 
-// Restore sets the row to a peer's weights and past moves, at its start.
+// Restore initializes the row with a peer's weights and past moves.
 func (r *Row) Restore(w Weights, moves []Move) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,7 +78,7 @@
 	return r.current()
 }
 
-// Moves returns the moves of the last Window.
+// Moves returns the moves within the last Window.
 func (r *Row) Moves(now time.Time) []Move {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,12 +86,12 @@
 	return slices.Clone(r.moves)
 }
 
-// Move takes the row towards the wanted distribution as far as the limit
-// allows, and returns the distance that is left.
+// Move moves the row towards the wanted distribution as far as the limit
+// allows, and returns the remaining distance.
 //
-// The cap holds in every window, not only in those that begin on the minute:
-// each move is kept until it is older than Window and counts until then. Time
-// that passes unobserved, as in a pause, earns nothing beyond the one cap.
+// The cap holds in every window, not only in those that begin at a full
+// minute: each move counts until it is older than Window. However long a VM was
+// paused, it may afterwards move by no more than one cap.
 func (r *Row) Move(now time.Time, wanted Weights, limit Limit) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,25 +127,25 @@
 	return distance - allowed
 }
 
-// Estimate returns how long the row takes to the wanted distribution if neither
-// it nor the limit changes, moved every step; false where that is longer than
-// the horizon.
+// Estimate returns how long the row will take to reach the wanted distribution
+// if it is moved once every step and neither wanted nor limit changes. It
+// reports false if that takes longer than horizon.
 func (r *Row) Estimate(now time.Time, wanted Weights, limit Limit, step, horizon time.Duration) (time.Duration, bool) {
-	var ahead Row
+	var forecast Row
 	r.mu.Lock()
-	ahead.set(r.current())
-	ahead.moves = slices.Clone(r.moves)
+	forecast.set(r.current())
+	forecast.moves = slices.Clone(r.moves)
 	r.mu.Unlock()
 	for passed := time.Duration(0); passed <= horizon; passed += step {
-		if ahead.Move(now.Add(passed), wanted, limit) < minMove {
+		if forecast.Move(now.Add(passed), wanted, limit) < minMove {
 			return passed, true
 		}
 	}
 	return 0, false
 }
 
-// cap returns the cap for a movement: the failover cap where the movement
-// takes traffic off a lost zone.
+// cap returns the cap for a move from current towards wanted. It is the
+// failover cap if the move takes traffic away from a lost zone.
 func (l Limit) cap(current, wanted Weights) float64 {
 	if l.FailoverCap <= l.Cap {
 		return l.Cap
@@ -156,7 +158,7 @@
 	return l.Cap
 }
 
-// expire forgets moves that no window with now in it contains.
+// expire drops moves older than Window.
 func (r *Row) expire(now time.Time) {
 	i := 0
 	for i < len(r.moves) && now.Sub(r.moves[i].At) > Window {
@@ -165,6 +167,7 @@
 	r.moves = r.moves[i:]
 }
 
+// moved returns the share of the traffic that has moved within the last Window.
 func (r *Row) moved() float64 {
 	var sum float64
 	for _, m := range r.moves {
@@ -181,8 +184,8 @@
 	return w
 }
 
-// set replaces the weights and keeps the credit of zones that stay, so that
-// many small moves do not restart the sequence of picks each time.
+// set replaces the weights. It keeps the credit of zones that remain, so that
+// frequent small moves do not restart the sequence of picks.
 func (r *Row) set(w Weights) {
 	credit := make(map[string]float64, len(r.zones))
 	for i, zone := range r.zones {
@@ -201,11 +204,13 @@
 	}
 }
 
-// Pick returns the zone of the next request, or "" where the row is empty. It
-// is smooth weighted round robin: each zone earns its weight a request, the
-// richest one is picked and pays 1. Over any run of requests a zone's count
-// stays near its share of them, so that counted traffic keeps the cap as the
-// weights do; a random choice would stray by the square root of the count.
+// Pick returns the zone for the next request, or "" if the row is empty. It
+// uses smooth weighted round robin: on each request every zone's credit grows
+// by its weight, and the zone with the most credit is picked and loses 1. The
+// number of requests to a zone therefore stays close to its share in any
+// sequence of requests, and the counted traffic stays within the cap as the
+// weights do. With a random choice it would deviate by the square root of the
+// count.
 func (r *Row) Pick() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/core/steer/row_test.go
+++ b/core/steer/row_test.go
@@ -26,7 +26,7 @@
 
 var zones = []string{"a", "b", "c"}
 
-// wantedFrom turns a number into a distribution over the zones.
+// wantedFrom returns a random distribution over the zones, with seed n.
 func wantedFrom(n uint32) Weights {
 	r := rand.New(rand.NewPCG(uint64(n), 0))
 	w := Weights{}
@@ -41,9 +41,9 @@
 	return w
 }
 
-// The wanted weights change at any moment, and the VM is paused in between for
-// up to two minutes. In no window of a minute may more of the traffic have moved than
-// the cap allows: the region it moves to would meet it with cold caches.
+// The wanted weights change at any time, and the VM is paused for up to two
+// minutes in between. Within any minute no more of the traffic may move than the
+// cap allows: the region that it moves to has cold caches.
 func TestCapHoldsInEveryWindow(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(propSeed)
 	params.MinSuccessfulTests = propRuns
@@ -80,13 +80,13 @@
 	))
 	properties.TestingRun(t)
 	if moved == 0 {
-		t.Error("no move was tried")
+		t.Error("the row was never moved, so the property was not tested")
 	}
 }
 
-// Requests are counted, not weights: over a minute of picks the shares must
-// have moved by no more than the cap, but for the one request or so a zone that
-// whole numbers cost.
+// The shares of counted requests, not only the weights, must move by no more
+// than the cap within a minute, except for about one request per zone from
+// rounding to whole requests.
 func TestCountedRequestsKeepTheCap(t *testing.T) {
 	const perSecond = 50
 	var row Row
@@ -114,10 +114,10 @@
 		}
 	}
 	if limit := testCap + 2.0/perSecond; worst > limit {
-		t.Errorf("counted requests moved by %.3f within a minute, want at most %.3f", worst, limit)
+		t.Errorf("the shares of counted requests moved by %.3f within a minute, want at most %.3f", worst, limit)
 	}
 	if got := row.Weights()["a"]; got > 0.25 {
-		t.Errorf("after four minutes zone a still has %.2f", got)
+		t.Errorf("after four minutes zone a has a weight of %.2f, want at most 0.25", got)
 	}
 }
 
@@ -130,15 +130,15 @@
 		counts[row.Pick()]++
 		for z, share := range w {
 			if off := math.Abs(counts[z] - share*float64(i)); off > 1+slack {
-				t.Fatalf("after %d picks zone %s is off by %.2f requests", i, z, off)
+				t.Fatalf("after %d picks the count of zone %s is off by %.2f requests, want at most 1", i, z, off)
 			}
 		}
 	}
 }
 
-// A region is lost. Without a failover cap the ordinary one still holds, and
-// what it keeps back is refused; with one the operator lets it go faster, but
-// only for what leaves the lost zone.
+// A zone is lost. Without a failover cap the ordinary cap still applies, and the
+// requests that it keeps in the zone are refused. With a failover cap the
+// traffic moves faster, but only if the move is away from the lost zone.
 func TestFailoverCapIsForLostZonesOnly(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -146,7 +146,7 @@
 		want  float64
 	}{
 		{"no failover cap", Limit{Cap: 0.2, Lost: map[string]bool{"a": true}}, 0.2},
-		{"lost", Limit{Cap: 0.2, FailoverCap: 0.6, Lost: map[string]bool{"a": true}}, 0.6},
+		{"the zone is lost", Limit{Cap: 0.2, FailoverCap: 0.6, Lost: map[string]bool{"a": true}}, 0.6},
 		{"another zone is lost", Limit{Cap: 0.2, FailoverCap: 0.6, Lost: map[string]bool{"c": true}}, 0.2},
 	} {
 		var row Row
@@ -158,32 +158,33 @@
 	}
 }
 
-// A VM dies in the middle of a shift and another takes its place. If it started
-// from the wanted weights, its callers' traffic would jump; if it forgot the
-// moves of the last minute, they would be made twice.
-func TestReplacementGoesOnWhereTheOtherWas(t *testing.T) {
-	var old, fresh Row
+// A VM crashes while traffic is being moved, and another one replaces it. If the
+// new VM started with the wanted weights, its callers' traffic would move at
+// once. If it did not restore the moves of the last minute, it would repeat them.
+func TestRestoredRowCountsEarlierMoves(t *testing.T) {
+	var old, restored Row
 	limit := Limit{Cap: testCap}
 	old.Move(start, Weights{"a": 1}, limit)
 	old.Move(at(1), Weights{"b": 1}, limit)
-	fresh.Restore(old.Weights(), old.Moves(at(10)))
-	fresh.Move(at(10), Weights{"b": 1}, limit)
-	if d := Distance(old.Weights(), fresh.Weights()); d > slack {
-		t.Errorf("the replacement moved %.2f further within the same minute", d)
+	restored.Restore(old.Weights(), old.Moves(at(10)))
+	restored.Move(at(10), Weights{"b": 1}, limit)
+	if d := Distance(old.Weights(), restored.Weights()); d > slack {
+		t.Errorf("the restored row moved by %.2f more within the same minute", d)
 	}
-	fresh.Move(at(62), Weights{"b": 1}, limit)
-	if got := fresh.Weights()["b"]; math.Abs(got-2*testCap) > slack {
-		t.Errorf("after the window b has %.2f, want %.2f", got, 2*testCap)
+	restored.Move(at(62), Weights{"b": 1}, limit)
+	if got := restored.Weights()["b"]; math.Abs(got-2*testCap) > slack {
+		t.Errorf("after the window zone b has a weight of %.2f, want %.2f", got, 2*testCap)
 	}
 }
 
-// An operator drains a zone in the middle of a minute in which traffic has moved
-// already, and asks when it will be empty. The answer must hold.
-func TestEstimateHolds(t *testing.T) {
+// An operator drains a zone when traffic has already moved within the last
+// minute. The estimated time until the zone is empty must match the moves that
+// follow.
+func TestEstimateMatchesMoves(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		cap  float64
-	}{{"a tenth a minute", 0.1}, {"a third", 1.0 / 3}, {"all at once", 1}} {
+	}{{"cap of a tenth", 0.1}, {"cap of a third", 1.0 / 3}, {"no cap", 1}} {
 		var row Row
 		limit, wanted := Limit{Cap: tc.cap}, Weights{"b": 0.6, "c": 0.4}
 		row.Move(start, Weights{"a": 0.9, "b": 0.1}, limit)
@@ -203,7 +204,7 @@
 	var row Row
 	row.Move(start, Weights{"a": 1}, Limit{Cap: 1})
 	if _, ok := row.Estimate(start, Weights{"b": 1}, Limit{}, time.Second, time.Hour); ok {
-		t.Error("an estimate where nothing may move")
+		t.Error("got an estimate with a cap of 0")
 	}
 }
 
--- a/core/steer/rows.go
+++ b/core/steer/rows.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// RowKey names a row.
+// RowKey identifies a row.
 type RowKey struct {
 	Service, Origin string
 }
 
-// Rows holds a VM's rows. It is safe for concurrent use; the zero value is
-// ready.
+// Rows holds the rows of a VM. It is safe for concurrent use; the zero value is
+// ready to use.
 type Rows struct {
 	mu     sync.Mutex
 	rows   map[RowKey]*Row
@@ -21,7 +21,7 @@
 	limits map[RowKey]Limit
 }
 
-// Row returns the row under the key, empty at first.
+// Row returns the row with the key. A new row is empty.
 func (r *Rows) Row(key RowKey) *Row {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -38,8 +38,8 @@
 	return row
 }
 
-// Move takes a row towards the wanted distribution, and notes for people where
-// it goes and under which limit.
+// Move moves a row towards the wanted distribution. It records wanted and limit
+// for Wanted and Limit.
 func (r *Rows) Move(now time.Time, key RowKey, wanted Weights, limit Limit) {
 	row := r.Row(key)
 	r.mu.Lock()
@@ -55,7 +55,7 @@
 	return r.limits[key]
 }
 
-// Wanted returns the wanted weights of a row as last noted.
+// Wanted returns the wanted weights towards which a row was last moved.
 func (r *Rows) Wanted(key RowKey) Weights {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,7 +76,7 @@
 	return keys
 }
 
-// Forget drops rows whose service is not kept.
+// Forget drops the rows for which keep returns false.
 func (r *Rows) Forget(keep func(RowKey) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/core/steer/solve.go
+++ b/core/steer/solve.go
@@ -6,65 +6,68 @@
 	"time"
 )
 
-// FreezeAfter is the age at which a zone's summary grants nothing beyond what
-// it already carries.
+// FreezeAfter is the age at which none of the spare slots in a zone's summary
+// count any more: the zone may keep the load it reported, but gets no more.
 const FreezeAfter = 30 * time.Second
 
-// headroomCost is the round trip from which on the headroom of the own zone is
-// used rather than another zone.
-const headroomCost = 20 * time.Millisecond
+// nearRTT is the round trip below which a zone is near. An origin's demand
+// goes to near zones before it uses the headroom of its own zone, and uses that
+// headroom before it goes to zones farther away.
+const nearRTT = 20 * time.Millisecond
 
-// ZoneSupply is what one availability zone offers a service.
+// ZoneSupply is the capacity of one availability zone for a service.
 type ZoneSupply struct {
 	Zone string
-	// Slots that usable upstreams have.
+	// Slots is the number of slots of usable upstreams.
 	Slots float64
-	// InUse slots as last reported.
+	// InUse is the number of slots in use as last reported.
 	InUse float64
-	// Age of the report.
+	// Age is the age of the report.
 	Age time.Duration
-	// Drained zones are to be left.
+	// Drained reports that the zone must get no traffic.
 	Drained bool
 }
 
-// Demand is how many slots an origin's callers ask for.
+// Demand is the number of slots that the requests from one origin need.
 type Demand struct {
 	Origin string
 	Slots  float64
 }
 
-// Path is the way from an origin zone to a serving zone.
+// Path is the connection from an origin zone to a serving zone.
 type Path struct {
 	Origin, Zone string
 	RoundTrip    time.Duration
-	// MaxConcurrent requests; 0: no limit.
+	// MaxConcurrent is the largest number of concurrent requests; 0: no limit.
 	MaxConcurrent float64
 }
 
-// Problem is one service's traffic to spread over the zones.
+// Problem is the traffic of one service that is to be distributed over the
+// zones.
 type Problem struct {
 	Supplies []ZoneSupply
 	Demands  []Demand
-	// Paths in the order of SortPaths. They change only with the inventory, and
-	// sorting them was most of the cost of solving.
+	// Paths must be sorted by SortPaths. They change only with the inventory,
+	// and sorting them in Solve was most of its cost.
 	Paths []Path
-	// HeadroomFloor is the share of a zone's slots kept free while there is room
-	// elsewhere, and from other origins always.
+	// HeadroomFloor is the share of a zone's slots that other origins must leave
+	// free, and that the zone's own requests use only after near zones.
 	HeadroomFloor float64
 }
 
 // Assignment is a distribution for each origin.
 type Assignment map[string]Weights
 
-// Solve spreads the demand over the zones. Each origin's demand fills the
-// nearest zone up to its headroom floor, then the next; nearer pairs choose
-// before farther ones, so that no zone's own callers are pushed out by those of
-// another. What is left then fills the headroom of its own zone. Demand that fits
-// nowhere stays where the rest of its origin's is, and is refused there; it is
-// never put on a zone that is full.
+// Solve distributes the demand over the zones. Each origin's demand fills the
+// nearest zone up to its headroom floor, then the next nearest. Closer pairs of
+// origin and zone go before farther ones, so that a zone's own callers are not
+// displaced by those of another. Demand that is left after the near zones fills
+// the headroom of its own zone before it goes to zones farther away. Demand that
+// fits nowhere is distributed like the rest of its origin's demand and refused
+// there; it is never moved to another zone that is full.
 //
-// The outcome depends on nothing but the problem, so that all VMs which know
-// the same summaries come to the same weights without asking each other.
+// The result depends on the problem only, so all VMs that have the same
+// summaries compute the same weights without coordination.
 func Solve(p Problem) Assignment {
 	s := newSolver(p)
 	s.fillAll()
@@ -77,29 +80,30 @@
 
 type solver struct {
 	problem Problem
-	supply  map[string]ZoneSupply
-	filled  map[string]float64 // Slots taken in each zone.
-	left    map[string]float64 // Demand not yet placed, by origin.
-	placed  map[string]Weights // In slots, by origin.
+	supply  map[string]ZoneSupply // By zone.
+	// The amounts are in slots.
+	filled   map[string]float64 // By zone.
+	unplaced map[string]float64 // Demand not yet placed, by origin.
+	placed   map[string]Weights // By origin and zone.
 }
 
 func newSolver(p Problem) *solver {
 	s := &solver{
 		problem: p,
 		supply:  map[string]ZoneSupply{}, filled: map[string]float64{},
-		left: map[string]float64{}, placed: map[string]Weights{},
+		unplaced: map[string]float64{}, placed: map[string]Weights{},
 	}
 	for _, z := range p.Supplies {
 		s.supply[z.Zone] = z
 	}
 	for _, d := range p.Demands {
-		s.left[d.Origin] = d.Slots
+		s.unplaced[d.Origin] = d.Slots
 		s.placed[d.Origin] = Weights{}
 	}
 	return s
 }
 
-// SortPaths orders paths nearest first, those alike by their names.
+// SortPaths sorts paths by round trip, shortest first, then by origin and zone.
 func SortPaths(paths []Path) {
 	slices.SortFunc(paths, func(a, b Path) int {
 		return cmp.Or(
@@ -110,26 +114,27 @@
 	})
 }
 
-// usable is what the zone may be counted on for. Its spare slots count for
-// less the older the report is, and for nothing at FreezeAfter: acting on a
-// stale report as if it were new sends every origin's traffic to the zone that
-// was idle a while ago.
+// usable returns how many slots may be planned for in the zone. The weight of
+// its spare slots falls with the age of the report and is 0 from FreezeAfter on.
+// If stale reports counted in full, every origin would send its traffic to the
+// zone that was idle at the time of the report.
 func (z ZoneSupply) usable() float64 {
 	if z.Drained {
 		return 0
 	}
 	spare := max(0, z.Slots-z.InUse)
-	trust := max(0, 1-float64(z.Age)/float64(FreezeAfter))
-	return min(z.Slots, z.InUse+spare*trust)
+	weight := max(0, 1-float64(z.Age)/float64(FreezeAfter))
+	return min(z.Slots, z.InUse+spare*weight)
 }
 
-// fillAll places the demand: first below the headroom floors of the zones that
-// are near, then in the headroom of each origin's own zone, then far away. A zone
-// filled to its last slot by its own callers has them queue while others next
-// door stand idle; but a way across regions costs more than a short queue.
+// fillAll places the demand: first below the headroom floors of near zones, then
+// in the headroom of each origin's own zone, then in zones farther away. If a
+// zone were filled completely by its own callers first, they would queue while
+// near zones are idle. A round trip to another region, however, costs more than
+// a short queue.
 func (s *solver) fillAll() {
 	near := 0
-	for near < len(s.problem.Paths) && s.problem.Paths[near].RoundTrip < headroomCost {
+	for near < len(s.problem.Paths) && s.problem.Paths[near].RoundTrip < nearRTT {
 		s.fill(s.problem.Paths[near], s.problem.HeadroomFloor)
 		near++
 	}
@@ -143,27 +148,28 @@
 	}
 }
 
-// fill places demand on a path, leaving a part of the zone's slots free. That
-// part is of the slots, not of what a late report leaves: taken from that, it
-// would push out traffic the zone carries now, and the next report draw it back.
+// fill places demand on a path. It leaves free a share of the zone's slots, given
+// by floor. This is a share of all slots and not of the usable ones: with an old
+// report fewer slots are usable, so traffic that the zone carries now would be
+// moved away, and the next report would move it back.
 func (s *solver) fill(path Path, floor float64) {
 	z := s.supply[path.Zone]
 	room := min(z.usable(), z.Slots*(1-floor)) - s.filled[path.Zone]
-	amount := min(s.left[path.Origin], room)
+	amount := min(s.unplaced[path.Origin], room)
 	if path.MaxConcurrent > 0 {
 		amount = min(amount, path.MaxConcurrent)
 	}
 	if amount <= 0 {
 		return
 	}
-	s.left[path.Origin] -= amount
+	s.unplaced[path.Origin] -= amount
 	s.filled[path.Zone] += amount
 	s.placed[path.Origin][path.Zone] += amount
 }
 
-// weights turns an origin's placed slots into shares. What could not be placed
-// is spread as the placed part is; with nothing placed, all goes to the
-// nearest zone that has capacity at all.
+// weights returns an origin's placed slots as shares. Demand that could not be
+// placed is distributed like the placed part. If nothing was placed, all of it
+// goes to the nearest zone that has any slots and is not drained.
 func (s *solver) weights(d Demand) Weights {
 	placed := s.placed[d.Origin]
 	var total float64
--- a/core/steer/solve_test.go
+++ b/core/steer/solve_test.go
@@ -12,8 +12,9 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// near is three zones: a and b close to each other, c far away.
-func near() []Path {
+// testPaths returns the paths between three zones: a and b are near each other
+// and c is far away.
+func testPaths() []Path {
 	paths := []Path{
 		{Origin: "a", Zone: "a"}, {Origin: "b", Zone: "b"}, {Origin: "c", Zone: "c"},
 		{Origin: "a", Zone: "b", RoundTrip: 3 * time.Millisecond}, {Origin: "b", Zone: "a", RoundTrip: 3 * time.Millisecond},
@@ -39,15 +40,15 @@
 	}{
 		{name: "nearest first", supplies: ten, demand: Demand{"a", 8}, want: Weights{"a": 1}},
 		{name: "no demand", supplies: ten, demand: Demand{"a", 0}, want: Weights{"a": 1}},
-		{name: "then the next", supplies: ten, demand: Demand{"a", 16}, want: Weights{"a": 10.0 / 16, "b": 6.0 / 16}},
-		{name: "the others' headroom stays", supplies: ten, demand: Demand{"a", 20}, floor: 0.5, want: Weights{"a": 0.5, "b": 0.25, "c": 0.25}},
-		{name: "the own headroom comes last", supplies: ten, demand: Demand{"a", 9}, floor: 0.5, want: Weights{"a": 5.0 / 9, "b": 4.0 / 9}},
-		{name: "the link's limit", supplies: ten, demand: Demand{"a", 16}, link: 2, want: Weights{"a": 10.0 / 16, "b": 2.0 / 16, "c": 4.0 / 16}},
-		{name: "a drained zone is left", supplies: drained, demand: Demand{"a", 5}, want: Weights{"b": 1}},
-		{name: "more than there is", supplies: ten, demand: Demand{"a", 60}, want: Weights{"a": 1.0 / 3, "b": 1.0 / 3, "c": 1.0 / 3}},
-		{name: "nothing anywhere", supplies: nil, demand: Demand{"a", 5}, want: nil},
+		{name: "then the next nearest", supplies: ten, demand: Demand{"a", 16}, want: Weights{"a": 10.0 / 16, "b": 6.0 / 16}},
+		{name: "headroom of other zones stays free", supplies: ten, demand: Demand{"a", 20}, floor: 0.5, want: Weights{"a": 0.5, "b": 0.25, "c": 0.25}},
+		{name: "own headroom after near zones", supplies: ten, demand: Demand{"a", 9}, floor: 0.5, want: Weights{"a": 5.0 / 9, "b": 4.0 / 9}},
+		{name: "limit of the link", supplies: ten, demand: Demand{"a", 16}, link: 2, want: Weights{"a": 10.0 / 16, "b": 2.0 / 16, "c": 4.0 / 16}},
+		{name: "nothing to a drained zone", supplies: drained, demand: Demand{"a", 5}, want: Weights{"b": 1}},
+		{name: "more demand than slots", supplies: ten, demand: Demand{"a", 60}, want: Weights{"a": 1.0 / 3, "b": 1.0 / 3, "c": 1.0 / 3}},
+		{name: "no supply", supplies: nil, demand: Demand{"a", 5}, want: nil},
 	} {
-		paths := near()
+		paths := testPaths()
 		paths[3].MaxConcurrent = tc.link
 		got := Solve(Problem{Supplies: tc.supplies, Demands: []Demand{tc.demand}, Paths: paths, HeadroomFloor: tc.floor})["a"]
 		if d := Distance(got, tc.want); d > slack {
@@ -56,8 +57,8 @@
 	}
 }
 
-// Whatever the demand and however stale the reports, the traffic that is placed
-// on a zone must not exceed what the zone may be counted on for.
+// For any demand and any age of the reports, the traffic that is placed in a
+// zone must not exceed the zone's usable slots.
 func TestSolveNeverOverfillsAZone(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(propSeed)
 	params.MinSuccessfulTests = propRuns
@@ -65,7 +66,7 @@
 	properties.Property("placed <= usable", prop.ForAllNoShrink(
 		func(n uint32) bool {
 			r := rand.New(rand.NewPCG(uint64(n), 1))
-			p := Problem{Paths: near(), HeadroomFloor: r.Float64() / 2}
+			p := Problem{Paths: testPaths(), HeadroomFloor: r.Float64() / 2}
 			for _, z := range zones {
 				slots := float64(r.IntN(20))
 				p.Supplies = append(p.Supplies, ZoneSupply{
@@ -91,22 +92,22 @@
 	properties.TestingRun(t)
 }
 
-// loop is three zones in a closed loop: the traffic that the weights cause is
-// reported back late, and the next weights come of the reports. It steps by a
-// second and calls the real Solve and Row, or a baseline.
+// loop simulates three zones as a feedback loop: the load that the weights cause
+// is reported with a delay, and the next weights are computed from the reports.
+// It steps by one second and uses the real Solve and Row, or a baseline.
 type loop struct {
-	delay   int // Seconds until a report is seen.
-	missing int // No report is seen from this second on; 0: all are.
-	demand  func(second int) map[string]float64
-	reports []map[string]float64 // Slots in use by zone, a second each.
-	rows    map[string]*Row
+	delay      int // Seconds until a report is received.
+	lastReport int // Second of the last report received; 0: no limit.
+	demand     func(second int) map[string]float64
+	reports    []map[string]float64 // Slots in use by zone, one report per second.
+	rows       map[string]*Row      // By origin.
 }
 
-// outcome is what a run of a loop cost.
+// outcome is the cost of one run of a loop.
 type outcome struct {
-	overload float64 // Largest demand on a zone beyond its slots, in slots.
-	swings   float64 // Traffic moved in all beyond the way there, in shares.
-	far      float64 // Mean share of the traffic that went far away.
+	overload    float64 // Largest load of a zone beyond its slots, in slots.
+	oscillation float64 // Sum of all moves beyond the direct distance, in shares.
+	far         float64 // Mean load sent to zones far away, in slots.
 }
 
 const (
@@ -114,18 +115,20 @@
 	loopSlots   = 10.0
 )
 
-// rush has zone a ask for more than it has from a minute on.
-func rush(second int) map[string]float64 {
+// rushHour returns the demand of each zone. After a minute, that of zone a
+// exceeds its slots.
+func rushHour(second int) map[string]float64 {
 	if second < 60 {
 		return map[string]float64{"a": 6, "b": 4, "c": 4}
 	}
 	return map[string]float64{"a": 14, "b": 4, "c": 4}
 }
 
-func (l *loop) seen(second int) (map[string]float64, time.Duration) {
+// newestReport returns the newest report received by a second, and its age.
+func (l *loop) newestReport(second int) (map[string]float64, time.Duration) {
 	at := second - l.delay
-	if l.missing > 0 {
-		at = min(at, l.missing)
+	if l.lastReport > 0 {
+		at = min(at, l.lastReport)
 	}
 	if at < 0 || len(l.reports) == 0 {
 		return map[string]float64{}, time.Duration(second) * time.Second
@@ -134,12 +137,13 @@
 	return l.reports[at], time.Duration(second-at) * time.Second
 }
 
-// steerer gives the weights of each origin for a second.
-type steerer func(l *loop, second int) map[string]Weights
+// policy returns the weights of each origin for a second.
+type policy func(l *loop, second int) map[string]Weights
 
-// inUse steers as the product does: the VMs of each zone see their own zone as
-// it is and the others by their reports, and use the row of their origin.
-func inUse(l *loop, second int) map[string]Weights {
+// steerByRows is the policy of this package: the VMs of each zone know the present
+// state of their own zone, know the others by their reports, and use the row of
+// their origin.
+func steerByRows(l *loop, second int) map[string]Weights {
 	out := map[string]Weights{}
 	for _, origin := range zones {
 		wanted := Solve(l.problemAt(origin, second))
@@ -153,12 +157,12 @@
 	return out
 }
 
-// problemAt is the problem as a zone sees it.
+// problemAt returns the problem as the zone home sees it.
 func (l *loop) problemAt(home string, second int) Problem {
-	p := Problem{Paths: near(), HeadroomFloor: 0.2}
-	late, age := l.seen(second)
+	p := Problem{Paths: testPaths(), HeadroomFloor: 0.2}
+	used, age := l.newestReport(second)
 	for _, z := range zones {
-		supply := ZoneSupply{Zone: z, Slots: loopSlots, InUse: late[z], Age: age}
+		supply := ZoneSupply{Zone: z, Slots: loopSlots, InUse: used[z], Age: age}
 		demand := l.demand(max(0, second-int(age/time.Second)))[z]
 		switch {
 		case z == home && len(l.reports) > 0:
@@ -173,15 +177,15 @@
 	return p
 }
 
-// nearestOnly is the baseline that never moves.
+// nearestOnly is a baseline that never moves traffic.
 func nearestOnly(*loop, int) map[string]Weights {
 	return map[string]Weights{"a": {"a": 1}, "b": {"b": 1}, "c": {"c": 1}}
 }
 
-// noMemory is the baseline that takes each report as it comes: all traffic of
-// an origin goes to the zones by the spare slots they reported.
+// noMemory is a baseline that uses the newest report only: each origin's traffic
+// goes to the zones in proportion to the spare slots they reported.
 func noMemory(l *loop, second int) map[string]Weights {
-	used, _ := l.seen(second)
+	used, _ := l.newestReport(second)
 	out := map[string]Weights{}
 	for _, origin := range zones {
 		w := Weights{}
@@ -198,12 +202,12 @@
 	return out
 }
 
-func (l *loop) run(steer steerer) outcome {
+func (l *loop) run(weightsAt policy) outcome {
 	l.rows = map[string]*Row{}
 	var o outcome
 	var before, first map[string]Weights
 	for second := range loopSeconds {
-		weights := steer(l, second)
+		weights := weightsAt(l, second)
 		demand := l.demand(second)
 		used := map[string]float64{}
 		for _, origin := range zones {
@@ -214,7 +218,7 @@
 				}
 			}
 			if before != nil {
-				o.swings += Distance(before[origin], weights[origin])
+				o.oscillation += Distance(before[origin], weights[origin])
 			}
 		}
 		if second > 180 {
@@ -229,7 +233,7 @@
 		before = weights
 	}
 	for _, origin := range zones {
-		o.swings -= Distance(first[origin], before[origin])
+		o.oscillation -= Distance(first[origin], before[origin])
 	}
 	o.far /= loopSeconds
 	return o
@@ -237,48 +241,48 @@
 
 var delays = []int{0, 2, 10, 60}
 
-// It is the morning rush in one zone, and reports arrive late, or not at all.
-// The traffic must not swing between the zones, and past the cap's own time no
-// zone may be sent more than it has.
-func TestLateReportsNeitherSwingNorOverload(t *testing.T) {
+// The demand of one zone exceeds its slots while reports are delayed or lost.
+// The traffic must not oscillate between the zones. Once the cap has allowed the
+// necessary moves, no zone may get more load than it has slots.
+func TestLateReportsCauseNoOscillationOrOverload(t *testing.T) {
 	for _, delay := range delays {
-		l := &loop{delay: delay, demand: rush}
-		got := l.run(inUse)
-		if got.swings > 0.05 {
-			t.Errorf("reports %d s late: %.2f of the traffic moved to and fro", delay, got.swings)
+		l := &loop{delay: delay, demand: rushHour}
+		got := l.run(steerByRows)
+		if got.oscillation > 0.05 {
+			t.Errorf("reports %d s late: %.2f of the traffic moved back and forth, want at most 0.05", delay, got.oscillation)
 		}
 		if delay <= 10 && got.overload > 0.5 {
-			t.Errorf("reports %d s late: a zone was sent %.1f slots too much", delay, got.overload)
+			t.Errorf("reports %d s late: a zone got %.1f slots more than it has, want at most 0.5", delay, got.overload)
 		}
 	}
-	l := &loop{missing: 30, demand: rush}
-	if got := l.run(inUse); got.swings > 0.05 {
-		t.Errorf("reports missing from 30 s on: %.2f of the traffic moved to and fro", got.swings)
+	l := &loop{lastReport: 30, demand: rushHour}
+	if got := l.run(steerByRows); got.oscillation > 0.05 {
+		t.Errorf("reports missing after 30 s: %.2f of the traffic moved back and forth, want at most 0.05", got.oscillation)
 	}
 }
 
-// BenchmarkLateReports gives what late reports cost the product and two
-// baselines.
+// BenchmarkLateReports measures the effect of late reports on the policy of this
+// package and on two baselines.
 func BenchmarkLateReports(b *testing.B) {
 	for _, c := range []struct {
-		name  string
-		steer steerer
-	}{{"InUse", inUse}, {"NearestOnly", nearestOnly}, {"NoMemory", noMemory}} {
+		name   string
+		policy policy
+	}{{"InUse", steerByRows}, {"NearestOnly", nearestOnly}, {"NoMemory", noMemory}} {
 		for _, delay := range delays {
 			b.Run(fmt.Sprintf("%s/Delay=%ds", c.name, delay), func(b *testing.B) {
 				var got outcome
 				for b.Loop() {
-					got = (&loop{delay: delay, demand: rush}).run(c.steer)
+					got = (&loop{delay: delay, demand: rushHour}).run(c.policy)
 				}
 				b.ReportMetric(math.Max(0, got.overload), "slots-over")
-				b.ReportMetric(math.Max(0, got.swings), "swings")
+				b.ReportMetric(math.Max(0, got.oscillation), "swings")
 				b.ReportMetric(got.far, "slots-far")
 			})
 		}
 	}
 }
 
-// BenchmarkSolve is one service at the coming size: 105 zones.
+// BenchmarkSolve measures one service at the largest planned size, 105 zones.
 func BenchmarkSolve(b *testing.B) {
 	const n = 105
 	p := Problem{HeadroomFloor: 0.2}
