--- a/core/inventory/change.go
+++ b/core/inventory/change.go
@@ -9,7 +9,8 @@
 
 // Change turns version Based into version Based+1.
 type Change struct {
-	// ID is unique. Who lost the answer to an accept looks for it.
+	// ID is unique. If the reply to an accepted change is lost, the sender looks
+	// for the ID to find out that it was accepted.
 	ID     string
 	Based  uint64
 	Author string
@@ -17,7 +18,8 @@
 	Ops    []Op
 }
 
-// Op is one step of a change: exactly one field is set.
+// Op is one operation of a change. Exactly one field is set: an item to add or
+// replace, or Remove.
 type Op struct {
 	Region  *Region
 	Zone    *Zone
@@ -29,14 +31,14 @@
 	Remove  *Remove
 }
 
-// Remove takes the item of that kind and name out. A link's name is
-// "From>To"; a drain's is "Kind/Name".
+// Remove identifies an item to remove. The name of a link is "From>To", that of
+// a drain is "Kind/Name".
 type Remove struct {
 	Kind Kind
 	Name string
 }
 
-// Subject returns the kind and name of the item the step is about.
+// Subject returns the kind and name of the item that the operation changes.
 func (op Op) Subject() Remove {
 	switch {
 	case op.Region != nil:
@@ -60,7 +62,8 @@
 	}
 }
 
-// String describes the step in one line, for people.
+// String returns a description of the operation in one line, such as
+// "put Zone ro-nord-1".
 func (op Op) String() string {
 	s := op.Subject()
 	if op.Remove != nil {
@@ -69,11 +72,11 @@
 	return fmt.Sprintf("put %s %s", s.Kind, s.Name)
 }
 
-// ErrVersion is returned for a change made from another version.
+// ErrVersion is the error for a change that is based on a different version.
 var ErrVersion = errors.New("change is based on another version")
 
-// Apply returns the version after c. The error lists every fault of the
-// outcome; inv is never changed.
+// Apply returns the version after c. If the result has faults, the error is a
+// *FaultsError with all of them. Apply does not modify inv.
 func (inv *Inventory) Apply(c Change) (*Inventory, error) {
 	next, err := inv.Install(c)
 	if err != nil {
@@ -85,24 +88,24 @@
 	return next, nil
 }
 
-// Install returns the version after c without checking the outcome. It is for
-// changes that were accepted already: every VM must take those, also where a
-// newer program would judge them otherwise.
+// Install returns the version after c without validating the result. It is for
+// changes that have already been accepted: every VM must apply them, even if a
+// newer release of the program has different rules.
 func (inv *Inventory) Install(c Change) (*Inventory, error) {
 	if c.Based != inv.Version {
-		return nil, errors.Wrapf(ErrVersion, "based on %d, at %d", c.Based, inv.Version)
+		return nil, errors.Wrapf(ErrVersion, "based on version %d, current version is %d", c.Based, inv.Version)
 	}
 	next := *inv
 	next.Version++
 	for _, op := range c.Ops {
-		if err := next.step(op); err != nil {
+		if err := next.applyOp(op); err != nil {
 			return nil, err
 		}
 	}
 	return &next, nil
 }
 
-func (inv *Inventory) step(op Op) error {
+func (inv *Inventory) applyOp(op Op) error {
 	switch {
 	case op.Region != nil:
 		inv.Regions = put(inv.Regions, op.Region, regionKey)
@@ -121,7 +124,7 @@
 	case op.Remove != nil:
 		return inv.removeItem(*op.Remove)
 	default:
-		return errors.New("a step of the change is empty")
+		return errors.New("the change has an empty operation")
 	}
 	return nil
 }
@@ -144,10 +147,10 @@
 	case KindDrain:
 		inv.Drains, ok = remove(inv.Drains, r.Name, (*Drain).key)
 	default:
-		return errors.Newf("cannot remove: %q is no kind of item", r.Kind)
+		return errors.Newf("cannot remove: unknown kind of item %q", r.Kind)
 	}
 	if !ok {
-		return errors.Newf("cannot remove %s %q: there is none", r.Kind, r.Name)
+		return errors.Newf("cannot remove %s %q: not found", r.Kind, r.Name)
 	}
 	return nil
 }
--- a/core/inventory/check.go
+++ b/core/inventory/check.go
@@ -6,29 +6,30 @@
 	"strings"
 )
 
-// Bounds on single values; beyond them an entry is taken for a slip.
 const (
-	maxSlots       = 100_000
-	maxNameLength  = 100
-	reservedPrefix = "auburnlatch"
+	// maxSlots and maxNameLength are meant to catch typing errors.
+	maxSlots      = 100_000
+	maxNameLength = 100 // In bytes.
+	// reservedName is the first segment of the program's own URL paths.
+	reservedName = "auburnlatch"
 )
 
-// Fault is one thing wrong with an inventory.
+// Fault is a validation error of an inventory.
 type Fault struct {
 	// Item is the kind and name of the faulty item.
 	Item Remove
 	// Field is the faulty field, as named in the schema.
 	Field string
-	// Problem says what is wrong and what would do.
+	// Problem says what is wrong and which value would be valid.
 	Problem string
 }
 
-// String gives the fault in one line.
+// String returns the fault in one line.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s %s: %s: %s", f.Item.Kind, f.Item.Name, f.Field, f.Problem)
 }
 
-// FaultsError is all that is wrong with an inventory.
+// FaultsError lists all faults of an inventory.
 type FaultsError struct {
 	Faults []Fault
 }
@@ -42,7 +43,7 @@
 	return strings.Join(lines, "; ")
 }
 
-// Check returns every fault of the inventory, in a fixed order.
+// Check validates the inventory and returns every fault, in a fixed order.
 func (inv *Inventory) Check() []Fault {
 	c := &checker{inv: inv}
 	for _, r := range inv.Regions {
@@ -83,13 +84,13 @@
 	}
 	for _, r := range name {
 		if (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') && (r < '0' || r > '9') && !strings.ContainsRune("-_.", r) {
-			c.fault(kind, name, "Name", "%q is not allowed: letters, digits, '-', '_' and '.' are", r)
+			c.fault(kind, name, "Name", "%q is not allowed; use letters, digits, '-', '_' and '.'", r)
 			return
 		}
 	}
 }
 
-func (c *checker) wantZone(kind Kind, name, field, zone string) {
+func (c *checker) requireZone(kind Kind, name, field, zone string) {
 	if c.inv.Zone(zone) == nil {
 		c.fault(kind, name, field, "there is no zone %q", zone)
 	}
@@ -102,23 +103,23 @@
 	}
 }
 
-func (c *checker) share(s *Service, field string, v float64, zero bool) {
-	if v > 1 || v < 0 || (v == 0 && !zero) || v != v {
+func (c *checker) share(s *Service, field string, v float64, allowZero bool) {
+	if v > 1 || v < 0 || (v == 0 && !allowZero) || v != v {
 		c.fault(KindService, s.Name, field, "%v is not a share between 0 and 1", v)
 	}
 }
 
 func (c *checker) service(s *Service) {
 	c.name(KindService, s.Name)
-	if s.Name == reservedPrefix {
-		c.fault(KindService, s.Name, "Name", "%q is kept for the system's own paths", reservedPrefix)
+	if s.Name == reservedName {
+		c.fault(KindService, s.Name, "Name", "%q is reserved for the system's own paths", reservedName)
 	}
 	c.share(s, "MaxShiftPerMinute", s.MaxShiftPerMinute, false)
 	c.share(s, "MaxFailoverPerMinute", s.MaxFailoverPerMinute, true)
 	c.share(s, "HeadroomFloor", s.HeadroomFloor, true)
 	c.share(s, "RetryBudget", s.RetryBudget, true)
 	if s.HeadroomFloor >= 1 {
-		c.fault(KindService, s.Name, "HeadroomFloor", "1 leaves no slot to use; less than 1 would do")
+		c.fault(KindService, s.Name, "HeadroomFloor", "1 leaves no slot to use; use less than 1")
 	}
 	if s.Timeout <= 0 {
 		c.fault(KindService, s.Name, "Timeout", "must be above 0s")
@@ -128,19 +129,19 @@
 	}
 	for _, status := range s.ShedStatuses {
 		if status < 400 || status > 599 {
-			c.fault(KindService, s.Name, "ShedStatuses", "%d is no refusal; 400 to 599 would do", status)
+			c.fault(KindService, s.Name, "ShedStatuses", "%d is not an error status; use 400 to 599", status)
 		}
 	}
 }
 
 func (c *checker) target(t *Target) {
 	c.name(KindTarget, t.Name)
-	c.wantZone(KindTarget, t.Name, "Zone", t.Zone)
+	c.requireZone(KindTarget, t.Name, "Zone", t.Zone)
 	if c.inv.Service(t.Service) == nil {
 		c.fault(KindTarget, t.Name, "Service", "there is no service %q", t.Service)
 	}
 	if _, err := netip.ParseAddrPort(t.Addr); err != nil {
-		c.fault(KindTarget, t.Name, "Addr", "%q is no IP:port", t.Addr)
+		c.fault(KindTarget, t.Name, "Addr", "%q is not of the form IP:port", t.Addr)
 	}
 	if t.Slots < 1 || t.Slots > maxSlots {
 		c.fault(KindTarget, t.Name, "Slots", "must lie between 1 and %d", maxSlots)
@@ -154,13 +155,13 @@
 	owner := make(map[netip.Prefix]string)
 	for _, p := range c.inv.Places {
 		c.name(KindPlace, p.Name)
-		c.wantZone(KindPlace, p.Name, "Zone", p.Zone)
+		c.requireZone(KindPlace, p.Name, "Zone", p.Zone)
 		for _, b := range p.Blocks {
 			if !b.IsValid() || b != b.Masked() {
-				c.fault(KindPlace, p.Name, "Blocks", "%v has bits set below its length; %v would do", b, b.Masked())
+				c.fault(KindPlace, p.Name, "Blocks", "%v has bits set beyond its prefix length; use %v", b, b.Masked())
 			}
 			if other, ok := owner[b]; ok {
-				c.fault(KindPlace, p.Name, "Blocks", "%v belongs to place %s already", b, other)
+				c.fault(KindPlace, p.Name, "Blocks", "%v already belongs to place %s", b, other)
 			}
 			owner[b] = p.Name
 		}
@@ -168,8 +169,8 @@
 }
 
 func (c *checker) link(l *Link) {
-	c.wantZone(KindLink, l.key(), "From", l.From)
-	c.wantZone(KindLink, l.key(), "To", l.To)
+	c.requireZone(KindLink, l.key(), "From", l.From)
+	c.requireZone(KindLink, l.key(), "To", l.To)
 	if l.RoundTrip <= 0 {
 		c.fault(KindLink, l.key(), "RoundTrip", "must be above 0s")
 	}
@@ -188,7 +189,7 @@
 	case KindRegion:
 		ok = c.inv.Region(d.Name) != nil
 	default:
-		c.fault(KindDrain, d.key(), "Kind", "%q cannot be drained; Target, Zone and Region can", d.Kind)
+		c.fault(KindDrain, d.key(), "Kind", "%q cannot be drained; use Target, Zone or Region", d.Kind)
 		return
 	}
 	if !ok {
--- a/core/inventory/diff.go
+++ b/core/inventory/diff.go
@@ -2,8 +2,8 @@
 
 import "reflect"
 
-// Diff returns the steps that turn from into to. Removals come first, so that
-// a name may move between items within one change.
+// Diff returns the operations that turn from into to. For each kind, removals
+// come first, so that a name can pass from one item to another in one change.
 func Diff(from, to *Inventory) []Op {
 	var ops []Op
 	ops = diffKind(ops, from.Drains, to.Drains, KindDrain, (*Drain).key, func(d *Drain) Op { return Op{Drain: d} })
@@ -30,12 +30,12 @@
 	return ops
 }
 
-// New returns an inventory of the given items, sorted by name, as version 0
-// with nothing checked. Of two items with one name the later stays.
+// New returns an inventory of the given items as version 0, without validating
+// it. Of two items with the same kind and name the later one is kept.
 func New(ops ...Op) (*Inventory, error) {
 	inv := &Inventory{}
 	for _, op := range ops {
-		if err := inv.step(op); err != nil {
+		if err := inv.applyOp(op); err != nil {
 			return nil, err
 		}
 	}
--- a/core/inventory/inventory.go
+++ b/core/inventory/inventory.go
@@ -1,17 +1,18 @@
-// Package inventory holds the register that operators keep: regions,
-// availability zones, services, targets, places, links and drains, with the
-// rules on them, and how one version turns into the next.
+// Package inventory defines the inventory that operators maintain: regions,
+// availability zones, services, targets, places, links and drains. It validates
+// them and applies changes.
 //
 // # Usage
 //
-// An Inventory is immutable. A Change names the version it was made from and
-// gives the next one; Apply checks the outcome whole and returns every fault:
+// An Inventory is immutable. A Change is based on one version and leads to the
+// next. Apply validates the whole result and returns every fault:
 //
 //	next, err := inv.Apply(change)
 //
-// Items of each kind are kept sorted by name, so a change copies one slice of
-// pointers and shares everything else with the version before it. At 130,000
-// blocks that makes a change cost well under a millisecond.
+// The items of each kind are sorted by name. A change copies the slices of
+// pointers of the kinds that it changes and shares everything else with the
+// previous version. With 130,000 address blocks a change takes well under a
+// millisecond.
 package inventory
 
 import (
@@ -19,7 +20,7 @@
 	"time"
 )
 
-// Region is a group of availability zones near each other.
+// Region is a group of availability zones that are near each other.
 type Region struct {
 	Name string
 }
@@ -30,28 +31,31 @@
 	Region string
 }
 
-// Service is one kind of work that targets do for callers.
+// Service is a service that callers request and targets provide.
 type Service struct {
 	Name string
 	// MaxShiftPerMinute is the largest share of the service's traffic, 0 to 1,
-	// that may move between availability zones in any minute.
+	// that may move between availability zones within any minute.
 	MaxShiftPerMinute float64
-	// MaxFailoverPerMinute takes its place for traffic that leaves a zone
-	// without capacity. 0: MaxShiftPerMinute holds then too.
+	// MaxFailoverPerMinute replaces MaxShiftPerMinute for traffic that leaves a
+	// zone without capacity. 0: MaxShiftPerMinute applies.
 	MaxFailoverPerMinute float64
-	// HeadroomFloor is the share of a zone's slots kept free, 0 to 1.
+	// HeadroomFloor is the share of a zone's slots to keep free, 0 to 1.
 	HeadroomFloor float64
-	// Timeout of a request whose caller names none.
+	// Timeout is the default time limit of a request.
 	Timeout time.Duration
-	// MaxQueueWait bounds the wait for a slot.
+	// MaxQueueWait is the longest time that a request waits for a slot.
 	MaxQueueWait time.Duration
-	// IdempotentMethods may be sent again on MaybeRan.
+	// IdempotentMethods are the HTTP methods whose requests may be retried even
+	// if they may have run (verdict.MaybeRan).
 	IdempotentMethods []string
-	// ShedStatuses are answers by which an upstream says it ran nothing.
+	// ShedStatuses are the HTTP statuses by which an upstream reports that it
+	// did not run the request.
 	ShedStatuses []int
-	// RetryBudget is the share of requests that may be sent again.
+	// RetryBudget is the number of retries allowed, as a share of the requests.
 	RetryBudget float64
-	// KeyOptional admits non-idempotent requests without Idempotency-Key.
+	// KeyOptional reports that non-idempotent requests are accepted without an
+	// Idempotency-Key header.
 	KeyOptional bool
 }
 
@@ -60,15 +64,16 @@
 	Name    string
 	Service string
 	Zone    string
-	// Addr is IP:port.
+	// Addr is the address in the form IP:port.
 	Addr string
-	// Slots is how many requests the target runs at once.
+	// Slots is the number of requests that the target runs concurrently.
 	Slots int
-	// MaxConnections the target accepts in all.
+	// MaxConnections is the number of connections that the target accepts from
+	// all VMs together.
 	MaxConnections int
 }
 
-// Place is an origin of callers.
+// Place is a location of callers, identified by their address blocks.
 type Place struct {
 	Name string
 	// Zone is the availability zone nearest to the place.
@@ -76,18 +81,18 @@
 	Blocks []netip.Prefix
 }
 
-// Link is the path between two availability zones, in one direction.
+// Link is the network path from one availability zone to another.
 type Link struct {
 	From, To  string
 	RoundTrip time.Duration
-	// MaxConcurrent requests on the link; 0: no limit.
+	// MaxConcurrent is the largest number of concurrent requests; 0: no limit.
 	MaxConcurrent int
 }
 
-// Kind names a sort of item.
+// Kind is a kind of item.
 type Kind string
 
-// The kinds of items.
+// The kinds of items in an inventory.
 const (
 	KindRegion  Kind = "Region"
 	KindZone    Kind = "Zone"
@@ -111,8 +116,8 @@
 // key returns the drain's name in a Remove and in the sorted slice.
 func (d *Drain) key() string { return string(d.Kind) + "/" + d.Name }
 
-// Inventory is one version of the register. The zero value is the empty
-// version 0. The slices are sorted and must not be written to.
+// Inventory is one version of the inventory. The zero value is version 0, which
+// is empty. The slices are sorted by name and must not be modified.
 type Inventory struct {
 	Version  uint64
 	Regions  []*Region
@@ -124,22 +129,22 @@
 	Drains   []*Drain
 }
 
-// Region returns the region of that name, or nil.
+// Region returns the named region, or nil.
 func (inv *Inventory) Region(name string) *Region { return find(inv.Regions, name, regionKey) }
 
-// Zone returns the availability zone of that name, or nil.
+// Zone returns the named availability zone, or nil.
 func (inv *Inventory) Zone(name string) *Zone { return find(inv.Zones, name, zoneKey) }
 
-// Service returns the service of that name, or nil.
+// Service returns the named service, or nil.
 func (inv *Inventory) Service(name string) *Service { return find(inv.Services, name, serviceKey) }
 
-// Target returns the target of that name, or nil.
+// Target returns the named target, or nil.
 func (inv *Inventory) Target(name string) *Target { return find(inv.Targets, name, targetKey) }
 
-// Place returns the place of that name, or nil.
+// Place returns the named place, or nil.
 func (inv *Inventory) Place(name string) *Place { return find(inv.Places, name, placeKey) }
 
-// Link returns the link between two zones, or nil.
+// Link returns the link from one zone to another, or nil.
 func (inv *Inventory) Link(from, to string) *Link {
 	return find(inv.Links, from+">"+to, (*Link).key)
 }
@@ -149,8 +154,9 @@
 	return inv.drain(KindTarget, t.Name) || inv.ZoneDrained(t.Zone)
 }
 
-// TargetDrained reports whether the target itself is drained. Its zone may be
-// on its way out under the cap and still use it.
+// TargetDrained reports whether the target itself is drained. A target in a
+// drained zone is still used while traffic moves away from the zone at the
+// capped rate.
 func (inv *Inventory) TargetDrained(t *Target) bool { return inv.drain(KindTarget, t.Name) }
 
 // ZoneDrained reports whether the zone or its region is drained.
--- a/core/inventory/inventory_test.go
+++ b/core/inventory/inventory_test.go
@@ -10,6 +10,7 @@
 	"github.com/cockroachdb/errors"
 )
 
+// small returns a valid inventory with two zones of one target each.
 func small(t *testing.T) *Inventory {
 	t.Helper()
 	inv, err := New(
@@ -39,10 +40,10 @@
 		t.Errorf("next = %+v", next)
 	}
 	if inv.Version != 0 || len(inv.Drains) != 0 {
-		t.Errorf("the version before has changed: %+v", inv)
+		t.Errorf("the previous version has changed: %+v", inv)
 	}
 	if _, err := next.Apply(Change{ID: "late"}); !errors.Is(err, ErrVersion) {
-		t.Errorf("a change from an older version: %v, want ErrVersion", err)
+		t.Errorf("Apply of a change based on an older version: %v, want ErrVersion", err)
 	}
 }
 
@@ -52,17 +53,17 @@
 		op   Op
 		want string
 	}{
-		{"empty step", Op{}, "step of the change is empty"},
-		{"unknown item", Op{Remove: &Remove{KindTarget, "t9"}}, `there is no`},
-		{"no kind", Op{Remove: &Remove{"Tarket", "t1"}}, `"Tarket" is no kind`},
+		{"empty operation", Op{}, "change has an empty operation"},
+		{"unknown item", Op{Remove: &Remove{KindTarget, "t9"}}, `cannot remove Target "t9": not found`},
+		{"unknown kind", Op{Remove: &Remove{"Tarket", "t1"}}, `unknown kind of item "Tarket"`},
 		{"zone in use", Op{Remove: &Remove{KindZone, "z1"}}, `Target t1: Zone: there is no zone "z1"`},
-		{"drain of nothing", Op{Drain: &Drain{KindZone, "z9"}}, `there is no Zone "z9"`},
+		{"drain of an unknown zone", Op{Drain: &Drain{KindZone, "z9"}}, `there is no Zone "z9"`},
 		{"drain of a service", Op{Drain: &Drain{KindService, "s"}}, `"Service" cannot be drained`},
 		{"share above 1", Op{Service: &Service{Name: "s", MaxShiftPerMinute: 20, Timeout: 1}}, "MaxShiftPerMinute: 20 is not a share"},
-		{"reserved name", Op{Service: &Service{Name: "auburnlatch", MaxShiftPerMinute: 1, Timeout: 1}}, "kept for the system's own paths"},
+		{"reserved name", Op{Service: &Service{Name: "auburnlatch", MaxShiftPerMinute: 1, Timeout: 1}}, "reserved for the system's own paths"},
 		{"name with a slash", Op{Zone: &Zone{Name: "a/b", Region: "r"}}, "'/' is not allowed"},
 		{"no slots", Op{Target: &Target{Name: "t1", Service: "s", Zone: "z1", Addr: "10.0.0.1:80"}}, "Slots: must lie between"},
-		{"block of another place", Op{Place: &Place{Name: "q", Zone: "z1", Blocks: []netip.Prefix{netip.MustParsePrefix("10.1.0.0/16")}}}, "belongs to place p already"},
+		{"block of another place", Op{Place: &Place{Name: "q", Zone: "z1", Blocks: []netip.Prefix{netip.MustParsePrefix("10.1.0.0/16")}}}, "already belongs to place p"},
 	} {
 		_, err := small(t).Apply(Change{ID: "c", Ops: []Op{tc.op}})
 		if err == nil || !strings.Contains(err.Error(), tc.want) {
@@ -71,7 +72,7 @@
 	}
 }
 
-func TestDiffLeadsFromOneToTheOther(t *testing.T) {
+func TestApplyingADiffGivesTheOtherInventory(t *testing.T) {
 	from := small(t)
 	to, err := from.Apply(Change{ID: "c", Ops: []Op{
 		{Remove: &Remove{KindTarget, "t1"}},
@@ -89,11 +90,11 @@
 		}
 		got.Version = dir.to.Version
 		if len(Diff(got, dir.to)) != 0 || !reflect.DeepEqual(got.Targets, dir.to.Targets) {
-			t.Errorf("applying the difference leaves %v", Diff(got, dir.to))
+			t.Errorf("applying the diff leaves %v", Diff(got, dir.to))
 		}
 	}
 	if ops := Diff(from, from); len(ops) != 0 {
-		t.Errorf("Diff with itself = %v", ops)
+		t.Errorf("Diff of an inventory with itself = %v", ops)
 	}
 }
 
@@ -105,8 +106,8 @@
 		want   []string
 	}{
 		{"none", nil, nil},
-		{"one zone", []Drain{{KindZone, "z1"}}, nil},
-		{"a zone and the other's target", []Drain{{KindZone, "z1"}, {KindTarget, "t2"}}, []string{"s"}},
+		{"one of two zones", []Drain{{KindZone, "z1"}}, nil},
+		{"a zone and the other zone's target", []Drain{{KindZone, "z1"}, {KindTarget, "t2"}}, []string{"s"}},
 		{"the region", []Drain{{KindRegion, "r"}}, []string{"s"}},
 	} {
 		c := Change{}
--- a/core/inventory/sorted.go
+++ b/core/inventory/sorted.go
@@ -5,14 +5,15 @@
 	"strings"
 )
 
-// search returns the index of key in the sorted items and whether it is there.
+// search returns the index of key in the sorted items, or where it would be
+// inserted, and whether it was found.
 func search[T any](items []*T, key string, keyOf func(*T) string) (int, bool) {
 	return slices.BinarySearchFunc(items, key, func(item *T, key string) int {
 		return strings.Compare(keyOf(item), key)
 	})
 }
 
-// find returns the item with that key, or nil.
+// find returns the item with the given key, or nil.
 func find[T any](items []*T, key string, keyOf func(*T) string) *T {
 	i, ok := search(items, key, keyOf)
 	if !ok {
@@ -21,7 +22,8 @@
 	return items[i]
 }
 
-// put returns a copy of items with item added, or in place of its namesake.
+// put returns a copy of items to which item is added, or in which it replaces
+// the item with the same key.
 func put[T any](items []*T, item *T, keyOf func(*T) string) []*T {
 	i, ok := search(items, keyOf(item), keyOf)
 	if ok {
@@ -35,7 +37,8 @@
 	return append(next, items[i:]...)
 }
 
-// remove returns a copy of items without key, and whether key was there.
+// remove returns a copy of items without the one with the given key, and whether
+// it was found.
 func remove[T any](items []*T, key string, keyOf func(*T) string) ([]*T, bool) {
 	i, ok := search(items, key, keyOf)
 	if !ok {
--- a/io/operator/file_test.go
+++ b/io/operator/file_test.go
@@ -49,7 +49,7 @@
 		{"bad block", `{"Places": [{"Name": "p", "Blocks": ["10.0.0.0"]}]}`, `Place p: Blocks: "10.0.0.0" is no CIDR prefix`},
 		{"no cap", `{"Services": [{"Name": "s"}]}`, `Service s: MaxShiftPerMinute: 0 is not a share between 0 and 1`},
 		{"bits beyond the length", `{"Regions": [{"Name": "r"}], "Zones": [{"Name": "z", "Region": "r"}],
-			"Places": [{"Name": "p", "Zone": "z", "Blocks": ["10.0.0.1/8"]}]}`, `10.0.0.0/8 would do`},
+			"Places": [{"Name": "p", "Zone": "z", "Blocks": ["10.0.0.1/8"]}]}`, `use 10.0.0.0/8`},
 	} {
 		path := filepath.Join(t.TempDir(), "inventory.jsonc")
 		if err := os.WriteFile(path, []byte(tc.text), 0o600); err != nil {
