--- a/core/dispatch/health.go
+++ b/core/dispatch/health.go
@@ -49,8 +49,8 @@
 	// maxFailures is how many requests must fail in a row before the upstream
 	// is Down.
 	maxFailures = 3
-	// downRetryInterval is when a request is tried on a Down upstream again,
-	// whatever the probes report, since the probes may be wrong.
+	// downRetryInterval is the time after which a Down upstream gets a request
+	// again, whatever the probes report, since the probes may be wrong.
 	downRetryInterval = 5 * time.Second
 	// minUpShare is the share of a service's upstreams that must not be Down
 	// for the Down state of the others to count. When more than half appear
