--- a/core/ratelimit/bounds.go
+++ b/core/ratelimit/bounds.go
@@ -8,80 +8,84 @@
 	"auburnlatch/core/team"
 )
 
-// Bounds say what a team may have: in each Window at most
-// (RatePerSecond x Window + Burst) x (1 + Excess) + Slack requests.
+// Bounds are the parameters that all limits share. The window limit of a team, the number
+// of requests that it may send in each Window, is
+// (RatePerSecond x Window + Burst) x (1 + Excess) + Slack.
 type Bounds struct {
 	Window time.Duration
 	Excess float64
 	Slack  float64
 }
 
-// Demand is what a team asks for.
+// Demand is a team's demand, at one VM or at all of them.
 type Demand struct {
 	Team ID
-	// PerSecond is how many requests a second are asked for, Sent how many were sent on in
-	// the last window.
+	// PerSecond is the rate of requests that arrive, Sent the number of requests admitted
+	// in the last window.
 	PerSecond float64
 	Sent      int
 }
 
-// Total is what is asked of all VMs.
+// Total is the demand at all VMs, as summed by the collector.
 type Total struct {
 	Demands []Demand
-	// Heard is how many VMs' demand the sums are of.
+	// Heard is the number of VMs whose demand is included.
 	Heard int
-	// Silent is the part of all limits that is kept back for VMs that are not heard.
+	// Silent is the fraction of all limits reserved for VMs that send no reports.
 	Silent float64
 }
 
-// ID names a team between VMs: a hash of its name. Two of 77 teams share one with a
-// chance of one in a million; they are then counted as one, and limited too soon.
+// ID identifies a team in messages between VMs: a hash of its name. The chance that two of
+// 77 teams have the same ID is one in a million; they would be counted as one team and
+// limited too early.
 type ID uint32
 
-// IDOf returns the ID of the team of a name.
+// IDOf returns the ID of the team with the given name.
 func IDOf(name string) ID { return ID(xxhash.Sum64String(name)) }
 
 const (
-	// rateOver is how far the rates of the buckets add up beyond the limit: at VMs of which
-	// a team asks less than their share at the moment, some of it is lost. What all send
-	// is bound by the brake.
-	rateOver = 1.15
-	// depthUsed is the part of the depth that VMs have, and windowUsed that of what a
-	// window allows; the rest pays for shares that change while messages are under way.
-	depthUsed  = 0.7
-	windowUsed = 0.8
-	// youngUsed is the part of that which a VM has that started within a window.
-	youngUsed = 0.8
-	// brakeAt is the part of what a window allows at which no VM sends more: what they send
-	// before they hear of it is a second of the limit.
-	brakeAt = 0.8
-	// freeSends is how many requests a VM may send in a window whatever its share, while
-	// demand is low, and freeSpread how many standard deviations beyond its part of a
-	// window: what comes by chance is spread by the square root of it.
-	freeSends  = 8
-	freeSpread = 2.0
-	// freeBelow is the part of what a window allows below which a team's known demand
-	// passes without a token.
-	freeBelow = 0.7
-	// boundEqual is the part of a limit that is dealt out equally to the VMs that callers
-	// use, and freeEqual the least while demand is low: callers who move come to VMs that
-	// their team asked nothing of.
-	boundEqual = 0.05
-	freeEqual  = 0.3
+	// rateOvercommit is the sum of the rates of all VMs' buckets, relative to the limit.
+	// VMs whose demand is momentarily below their share leave some of it unused. The global
+	// check bounds what all of them admit.
+	rateOvercommit = 1.15
+	// depthFraction is the fraction of the total bucket depth that is divided among VMs, and
+	// windowFraction that of the window limit. The rest covers shares that change while
+	// messages are in flight.
+	depthFraction  = 0.7
+	windowFraction = 0.8
+	// startupFraction scales a VM's window allowance for the first window after its start.
+	startupFraction = 0.8
+	// globalFraction is the fraction of the window limit at which no VM admits more. What
+	// VMs admit before they learn of it amounts to one second of the limit.
+	globalFraction = 0.8
+	// lowLoadRequests is the number of requests that a VM may admit in a window whatever its
+	// share, at low load. lowLoadDeviations is by how many standard deviations a VM may
+	// exceed its share of the window then: random arrivals have a standard deviation of the
+	// square root of their mean.
+	lowLoadRequests   = 8
+	lowLoadDeviations = 2.0
+	// lowLoadThreshold is the known demand, as a fraction of the window limit, up to which
+	// load is low and requests pass without a token.
+	lowLoadThreshold = 0.7
+	// equalFraction is the fraction of a limit that is divided equally among the VMs that
+	// callers use, and lowLoadEqualFraction its minimum at low load. Callers who move reach
+	// VMs at which their team had no demand.
+	equalFraction        = 0.05
+	lowLoadEqualFraction = 0.3
 )
 
-// whole returns the rate and the depth of all VMs' buckets together.
-func (b Bounds) whole(t *team.Team) (rate, depth float64) {
-	rate = rateOver * t.RatePerSecond
-	return rate, depthUsed * (b.allowed(t) - rate*b.Window.Seconds())
+// bucketTotals returns the sums of the rates and the depths of all VMs' buckets.
+func (b Bounds) bucketTotals(t *team.Team) (rate, depth float64) {
+	rate = rateOvercommit * t.RatePerSecond
+	return rate, depthFraction * (b.windowLimit(t) - rate*b.Window.Seconds())
 }
 
-// allowed is how many requests a window may have.
-func (b Bounds) allowed(t *team.Team) float64 {
+// windowLimit returns the number of requests allowed in a window, over all VMs.
+func (b Bounds) windowLimit(t *team.Team) float64 {
 	return (t.RatePerSecond*b.Window.Seconds()+t.Burst)*(1+b.Excess) + b.Slack
 }
 
-// load is a demand as a part of what a window allows.
+// load returns a rate of demand as a fraction of the window limit.
 func (b Bounds) load(t *team.Team, perSecond float64) float64 {
-	return perSecond * b.Window.Seconds() / b.allowed(t)
+	return perSecond * b.Window.Seconds() / b.windowLimit(t)
 }
--- a/core/ratelimit/collector.go
+++ b/core/ratelimit/collector.go
@@ -7,60 +7,60 @@
 	"auburnlatch/core/team"
 )
 
-// keepFor is how long a VM's demand is counted that tells no more: longer than the VM
-// itself goes by the totals that it heard in answer.
-const keepFor = holdFor + 500*time.Millisecond
+// demandTTL is how long the demand of a VM that stopped reporting is counted: longer than
+// the VM itself uses the totals that it received in return.
+const demandTTL = shareTTL + 500*time.Millisecond
 
-// hotEvery is how often all teams are looked at for those that all VMs should know of.
-const hotEvery = 250 * time.Millisecond
+// hotInterval is the minimum time between two searches for hot teams.
+const hotInterval = 250 * time.Millisecond
 
-// Collector sums what is asked of all VMs. The zero value is ready. It is safe for
+// Collector sums the demand of all VMs. The zero value is ready to use. It is safe for
 // concurrent use.
 type Collector struct {
 	mu   sync.Mutex
-	vms  map[string]*told
+	vms  map[string]*vmDemand
 	sums map[ID]Demand
-	// hot are the teams whose demand comes near their limits, as of hotAt.
+	// hot are the teams whose demand was close to their limits at hotAt.
 	hot   []ID
 	hotAt time.Time
 }
 
-// told is what one VM has told.
-type told struct {
+// vmDemand is the demand that one VM reported.
+type vmDemand struct {
 	at      time.Time
 	demands map[ID]Demand
 }
 
-// Told takes in what is asked of a VM. first begins a new telling, in place of the one
-// before; what is too long for one message follows in others.
+// Told records demand that a VM reports. A report that is too long for one message is
+// split: first is true for the first message, which replaces the VM's previous report.
 func (c *Collector) Told(now time.Time, vm string, list []Demand, first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.vms == nil {
-		c.vms, c.sums = make(map[string]*told), make(map[ID]Demand)
+		c.vms, c.sums = make(map[string]*vmDemand), make(map[ID]Demand)
 	}
-	t := c.vms[vm]
-	if t == nil {
-		t = &told{demands: make(map[ID]Demand)}
-		c.vms[vm] = t
+	v := c.vms[vm]
+	if v == nil {
+		v = &vmDemand{demands: make(map[ID]Demand)}
+		c.vms[vm] = v
 	}
-	t.at = now
+	v.at = now
 	if first {
-		c.forget(t)
+		c.subtract(v)
 	}
 	for _, d := range list {
 		if d.PerSecond < 0 || d.Sent < 0 {
 			continue
 		}
-		old := t.demands[d.Team]
+		old := v.demands[d.Team]
 		old.Team = d.Team
 		c.add(old, -1)
 		c.add(d, 1)
-		t.demands[d.Team] = d
+		v.demands[d.Team] = d
 	}
 }
 
-// add adds a demand to the sums, or takes it out where sign is -1.
+// add adds a demand, multiplied by sign, to the sums.
 func (c *Collector) add(d Demand, sign int) {
 	sum := c.sums[d.Team]
 	sum.PerSecond += float64(sign) * d.PerSecond
@@ -68,29 +68,29 @@
 	c.sums[d.Team] = sum
 }
 
-// forget takes a VM's demand out of the sums.
-func (c *Collector) forget(t *told) {
-	for id, d := range t.demands {
+// subtract removes all demand of a VM from the sums.
+func (c *Collector) subtract(v *vmDemand) {
+	for id, d := range v.demands {
 		c.add(d, -1)
-		if sum := c.sums[id]; sum.PerSecond < leastDemand && sum.Sent == 0 {
+		if sum := c.sums[id]; sum.PerSecond < minDemand && sum.Sent == 0 {
 			delete(c.sums, id)
 		}
 	}
-	clear(t.demands)
+	clear(v.demands)
 }
 
-// Total returns what is asked of all VMs for the teams of a list, and for the hot ones.
-// vms are the VMs that callers use: of each that is not heard an equal part is kept back.
+// Total returns the totals of the teams in asked and of all hot teams. vms are the VMs that
+// callers use: an equal share is reserved for each of them that sends no reports.
 func (c *Collector) Total(now time.Time, asked []Demand, vms []string) Total {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for name, t := range c.vms {
-		if now.Sub(t.at) > keepFor {
-			c.forget(t)
+	for name, v := range c.vms {
+		if now.Sub(v.at) > demandTTL {
+			c.subtract(v)
 			delete(c.vms, name)
 		}
 	}
-	total := Total{Heard: len(c.vms), Silent: c.silent(vms)}
+	total := Total{Heard: len(c.vms), Silent: c.reservedFraction(vms)}
 	listed := make(map[ID]bool, len(asked))
 	for _, d := range asked {
 		listed[d.Team] = true
@@ -110,8 +110,8 @@
 	return d
 }
 
-// silent returns the part of VMs that are not heard.
-func (c *Collector) silent(vms []string) float64 {
+// reservedFraction returns the fraction of vms that send no reports.
+func (c *Collector) reservedFraction(vms []string) float64 {
 	n := 0
 	for _, name := range vms {
 		if c.vms[name] == nil {
@@ -121,11 +121,12 @@
 	return float64(n) / float64(max(1, len(vms)))
 }
 
-// Look finds the hot teams among all. It does so now and then only, as there may be many.
+// Look searches teams for the hot ones. As there may be many teams, it does nothing if the
+// last search was less than hotInterval ago.
 func (c *Collector) Look(now time.Time, teams []*team.Team, hot func(t *team.Team, perSecond float64) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Sub(c.hotAt) < hotEvery {
+	if now.Sub(c.hotAt) < hotInterval {
 		return
 	}
 	c.hotAt, c.hot = now, nil
--- a/core/ratelimit/count.go
+++ b/core/ratelimit/count.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// meter is a rate that decays over demandSpan. The zero value is ready.
+// meter measures a rate, averaged with exponential decay over demandTimeConstant. The zero
+// value is ready to use.
 type meter struct {
 	count float64
 	at    time.Time
@@ -13,46 +14,46 @@
 
 // add counts one request.
 func (m *meter) add(now time.Time) {
-	m.count = m.rate(now)*demandSpan.Seconds() + 1
+	m.count = m.rate(now)*demandTimeConstant.Seconds() + 1
 	m.at = now
 }
 
-// rate returns the rate a second.
+// rate returns the rate in requests per second.
 func (m *meter) rate(now time.Time) float64 {
-	return m.count * math.Exp(-max(0, now.Sub(m.at).Seconds())/demandSpan.Seconds()) / demandSpan.Seconds()
+	return m.count * math.Exp(-max(0, now.Sub(m.at).Seconds())/demandTimeConstant.Seconds()) / demandTimeConstant.Seconds()
 }
 
-// windowSlices is the resolution of a window.
+// windowSlices is the number of slices into which a sliding window is divided.
 const windowSlices = 20
 
-// window counts what was sent in the last slices. The zero value is ready.
+// window counts the requests admitted in a sliding window. The zero value is ready to use.
 type window struct {
-	at int64
-	// sent has one slice more than a window: the first one counts whole while a window
-	// begins within it.
-	sent  [windowSlices + 1]int32
-	total int32
+	last int64 // The number of the newest slice.
+	// counts has one slice more than a window: the oldest slice counts in full as long as
+	// the window begins within it.
+	counts [windowSlices + 1]int32
+	total  int32
 }
 
-// add counts requests in a slice.
+// add adds n requests to a slice.
 func (w *window) add(slice int64, n int) {
-	w.turn(slice)
-	w.sent[w.at%int64(len(w.sent))] += int32(n)
+	w.advance(slice)
+	w.counts[w.last%int64(len(w.counts))] += int32(n)
 	w.total += int32(n)
 }
 
-// sum returns what was sent in the window that ends in a slice.
+// sum returns the number of requests in the window that ends in a slice.
 func (w *window) sum(slice int64) int32 {
-	w.turn(slice)
+	w.advance(slice)
 	return w.total
 }
 
-// turn forgets slices that are over.
-func (w *window) turn(slice int64) {
-	for steps := min(slice-w.at, int64(len(w.sent))); steps > 0; steps-- {
-		i := (slice - steps + 1) % int64(len(w.sent))
-		w.total -= w.sent[i]
-		w.sent[i] = 0
+// advance moves the window to a newer slice and drops the slices that are no longer in it.
+func (w *window) advance(slice int64) {
+	for steps := min(slice-w.last, int64(len(w.counts))); steps > 0; steps-- {
+		i := (slice - steps + 1) % int64(len(w.counts))
+		w.total -= w.counts[i]
+		w.counts[i] = 0
 	}
-	w.at = max(w.at, slice)
+	w.last = max(w.last, slice)
 }
--- a/core/ratelimit/fleet_test.go
+++ b/core/ratelimit/fleet_test.go
@@ -12,45 +12,47 @@
 )
 
 const (
-	step     = 10 * time.Millisecond
-	tellEach = 500 * time.Millisecond
-	fleetVMs = 24
-	usedVMs  = 18
+	tick           = 10 * time.Millisecond
+	reportInterval = 500 * time.Millisecond
+	fleetVMs       = 24
+	usedVMs        = 18
 )
 
 var bounds = ratelimit.Bounds{Window: 5 * time.Second, Excess: 0.1, Slack: 20}
 
-// fleet plays VMs in simulated time. Their messages take up to 110 ms and are lost at times,
-// VMs die, start anew and are cut off from others, and what upstreams get is counted.
+// fleet simulates VMs. Their messages take up to 110 ms and one in 50 is lost; VMs crash,
+// restart and are partitioned from each other. It records the requests that upstreams get.
 type fleet struct {
-	rng  *rand.Rand
-	now  time.Time
-	team *team.Team
-	vms  []*limitedVM
-	mail []letter
-	// sent are the moments of the requests that reached upstreams.
+	rng      *rand.Rand
+	now      time.Time
+	team     *team.Team
+	vms      []*limitedVM
+	inFlight []message
+	// sent are the times of the requests that reached upstreams.
 	sent []time.Time
-	// asked and refused count requests.
-	asked, refused int
-	// noReserve is a mutation: nothing is kept back for VMs that are not heard.
+	// requests and refused count requests.
+	requests, refused int
+	// noReserve is a seeded fault: nothing is reserved for VMs that send no reports.
 	noReserve bool
-	// equal is another way: each VM has an equal part, and nobody tells anything.
-	equal bool
+	// equalShares is an alternative policy for comparison: each VM has an equal share and
+	// none reports its demand.
+	equalShares bool
 }
 
 type limitedVM struct {
-	name      string
-	started   time.Time
-	dead      bool
-	side      int // VMs of different sides do not hear each other.
-	limiter   *ratelimit.Limiter
-	collector *ratelimit.Collector
-	nextTell  time.Time
-	// demand is how many requests a second callers ask of it.
+	name       string
+	started    time.Time
+	down       bool
+	partition  int // VMs in different partitions cannot reach each other.
+	limiter    *ratelimit.Limiter
+	collector  *ratelimit.Collector
+	nextReport time.Time
+	// demand is the rate in requests per second that callers send to it.
 	demand float64
 }
 
-type letter struct {
+// message is a report of demand, or the totals in reply to one.
+type message struct {
 	at       time.Time
 	from, to *limitedVM
 	list     []ratelimit.Demand
@@ -70,35 +72,35 @@
 }
 
 func (f *fleet) start(v *limitedVM) {
-	v.dead, v.started = false, f.now
+	v.down, v.started = false, f.now
 	v.limiter, v.collector = &ratelimit.Limiter{}, &ratelimit.Collector{}
 	v.limiter.SetBounds(bounds)
 	v.limiter.SetVMs(usedVMs)
-	v.nextTell = f.now.Add(time.Duration(f.rng.IntN(int(tellEach))))
+	v.nextReport = f.now.Add(time.Duration(f.rng.IntN(int(reportInterval))))
 }
 
-func (f *fleet) post(l letter) {
+func (f *fleet) send(m message) {
 	if f.rng.IntN(50) == 0 {
 		return // Lost.
 	}
-	l.at = f.now.Add(time.Duration(f.rng.IntN(int(110 * time.Millisecond))))
-	f.mail = append(f.mail, l)
+	m.at = f.now.Add(time.Duration(f.rng.IntN(int(110 * time.Millisecond))))
+	f.inFlight = append(f.inFlight, m)
 }
 
-// run plays for a time.
+// run advances the simulation by d.
 func (f *fleet) run(d time.Duration) {
-	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(step) {
+	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(tick) {
 		f.deliver()
 		for _, v := range f.vms {
-			if v.dead {
+			if v.down {
 				continue
 			}
-			if !f.equal && !f.now.Before(v.nextTell) {
-				v.nextTell = f.now.Add(tellEach)
-				f.tell(v)
+			if !f.equalShares && !f.now.Before(v.nextReport) {
+				v.nextReport = f.now.Add(reportInterval)
+				f.report(v)
 			}
-			for n := f.poisson(v.demand * step.Seconds()); n > 0; n-- {
-				f.asked++
+			for n := f.poisson(v.demand * tick.Seconds()); n > 0; n-- {
+				f.requests++
 				if _, ok := v.limiter.Take(f.now, f.team); ok {
 					f.sent = append(f.sent, f.now)
 				} else {
@@ -117,52 +119,53 @@
 	return n
 }
 
-// tell tells the first two VMs that are believed to be there: the ones that are heard.
-func (f *fleet) tell(v *limitedVM) {
-	list, told := v.limiter.Demand(f.now), 0
+// report sends a VM's demand to the first two VMs that it takes to be up: those it can reach,
+// and those that are down until 3 s after their start.
+func (f *fleet) report(v *limitedVM) {
+	list, reports := v.limiter.Demand(f.now), 0
 	for _, to := range f.vms {
-		if to.dead && f.now.Sub(to.started) > 3*time.Second || to.side != v.side {
+		if to.down && f.now.Sub(to.started) > 3*time.Second || to.partition != v.partition {
 			continue
 		}
-		f.post(letter{from: v, to: to, list: list, ask: told == 0 || v.limiter.Age(f.now) > 1200*time.Millisecond})
-		if told++; told == 2 {
+		f.send(message{from: v, to: to, list: list, ask: reports == 0 || v.limiter.Age(f.now) > 1200*time.Millisecond})
+		if reports++; reports == 2 {
 			return
 		}
 	}
 }
 
 func (f *fleet) deliver() {
-	mail := f.mail
-	f.mail = nil
-	for _, l := range mail {
+	due := f.inFlight
+	f.inFlight = nil
+	for _, m := range due {
 		switch {
-		case l.at.After(f.now):
-			f.mail = append(f.mail, l)
-		case l.to.dead || l.from.side != l.to.side:
-		case l.total != nil:
-			l.to.limiter.Heard(f.now, *l.total)
+		case m.at.After(f.now):
+			f.inFlight = append(f.inFlight, m)
+		case m.to.down || m.from.partition != m.to.partition:
+		case m.total != nil:
+			m.to.limiter.Heard(f.now, *m.total)
 		default:
-			f.collect(l)
+			f.collect(m)
 		}
 	}
 }
 
-func (f *fleet) collect(l letter) {
-	c := l.to.collector
-	c.Told(f.now, l.from.name, l.list, true)
-	if !l.ask || f.now.Sub(l.to.started) < 300*time.Millisecond {
+func (f *fleet) collect(m message) {
+	c := m.to.collector
+	c.Told(f.now, m.from.name, m.list, true)
+	if !m.ask || f.now.Sub(m.to.started) < 300*time.Millisecond {
 		return
 	}
-	c.Look(f.now, []*team.Team{f.team}, l.to.limiter.Hot)
-	total := c.Total(f.now, l.list, f.used())
+	c.Look(f.now, []*team.Team{f.team}, m.to.limiter.Hot)
+	total := c.Total(f.now, m.list, f.usedNames())
 	if f.noReserve {
 		total.Silent = 0
 	}
-	f.post(letter{from: l.to, to: l.from, total: &total})
+	f.send(message{from: m.to, to: m.from, total: &total})
 }
 
-// used returns the VMs that callers use.
-func (f *fleet) used() []string {
+// usedNames returns the names of the VMs that callers use.
+func (f *fleet) usedNames() []string {
 	var names []string
 	for _, v := range f.vms[:usedVMs] {
 		names = append(names, v.name)
@@ -170,8 +173,9 @@
 	return names
 }
 
-// most returns the most requests that upstreams got in any window that ends after a moment.
-func (f *fleet) most(after time.Time) int {
+// maxPerWindow returns the largest number of requests that upstreams got in any window that
+// ends after the given time.
+func (f *fleet) maxPerWindow(after time.Time) int {
 	most, from := 0, 0
 	for i, at := range f.sent {
 		for at.Sub(f.sent[from]) >= bounds.Window {
@@ -184,12 +188,12 @@
 	return most
 }
 
-func allowed(t *team.Team) int {
+func windowLimit(t *team.Team) int {
 	return int((t.RatePerSecond*bounds.Window.Seconds()+t.Burst)*(1+bounds.Excess) + bounds.Slack)
 }
 
-// spread has the demand of a number of requests a second asked of n VMs, in uneven parts.
-func (f *fleet) spread(perSecond float64, n int) {
+// spreadDemand divides a demand in requests per second among n random VMs, unevenly.
+func (f *fleet) spreadDemand(perSecond float64, n int) {
 	sum := 0.0
 	for _, v := range f.vms {
 		v.demand = 0
@@ -203,55 +207,55 @@
 	}
 }
 
-// trouble is something that happens to a fleet while a team asks for more than it may have.
-type trouble struct {
+// scenario is a sequence of events in a fleet while a team requests more than its limit.
+type scenario struct {
 	name string
-	do   func(*fleet)
+	run  func(*fleet)
 }
 
-var troubles = []trouble{
-	{"calm", func(f *fleet) { f.run(8 * time.Second) }},
+var scenarios = []scenario{
+	{"no failures", func(f *fleet) { f.run(8 * time.Second) }},
 	{"callers move to other VMs", func(f *fleet) {
 		for range 4 {
 			f.run(2 * time.Second)
-			f.spread(5*f.team.RatePerSecond, 6+f.rng.IntN(12))
+			f.spreadDemand(5*f.team.RatePerSecond, 6+f.rng.IntN(12))
 		}
 	}},
-	{"half of the VMs do not hear the others, and callers move", func(f *fleet) {
+	{"the VMs are partitioned in halves, and callers move", func(f *fleet) {
 		for i, v := range f.vms {
-			v.side = i % 2
+			v.partition = i % 2
 		}
 		f.run(4 * time.Second)
-		f.spread(5*f.team.RatePerSecond, 12)
+		f.spreadDemand(5*f.team.RatePerSecond, 12)
 		f.run(8 * time.Second)
 		for _, v := range f.vms {
-			v.side = 0
+			v.partition = 0
 		}
 		f.run(4 * time.Second)
 	}},
-	{"VMs are cut off one by one", func(f *fleet) {
+	{"single VMs are partitioned one by one", func(f *fleet) {
 		for i := range 4 {
-			f.vms[f.rng.IntN(usedVMs)].side = i + 1
+			f.vms[f.rng.IntN(usedVMs)].partition = i + 1
 			f.run(2 * time.Second)
 		}
 	}},
-	{"VMs die, the collector among them, and start anew", func(f *fleet) {
+	{"VMs crash, including the collector, and restart", func(f *fleet) {
 		for range 4 {
 			for _, i := range append(f.rng.Perm(usedVMs)[:5], 0) {
-				f.vms[i].dead = true
+				f.vms[i].down = true
 			}
 			f.run(1500 * time.Millisecond)
 			for _, v := range f.vms {
-				if v.dead {
+				if v.down {
 					f.start(v)
 				}
 			}
 			f.run(1500 * time.Millisecond)
 		}
 	}},
-	{"all VMs start anew", func(f *fleet) {
+	{"all VMs restart", func(f *fleet) {
 		for _, v := range f.vms {
-			v.dead = true
+			v.down = true
 		}
 		f.run(time.Second)
 		for _, v := range f.vms {
@@ -264,22 +268,22 @@
 		low.RatePerSecond, low.Burst = low.RatePerSecond/3, low.Burst/3
 		f.team = &low
 		f.run(bounds.Window)
-		f.sent = nil // A lower limit binds after a window.
+		f.sent = nil // A lower limit holds one window later.
 		f.run(6 * time.Second)
 	}},
 }
 
-// play has a team ask for five times its limit, and returns by how many requests the worst
-// window exceeds what it allows.
-func play(seed uint64, t team.Team, tr trouble, change func(*fleet)) (over int) {
+// runScenario has a team request five times its limit, and returns by how many requests the
+// window with the most requests exceeds the window limit.
+func runScenario(seed uint64, t team.Team, sc scenario, change func(*fleet)) (over int) {
 	f := newFleet(seed, &t)
 	change(f)
-	f.spread(0.3*t.RatePerSecond, 8+f.rng.IntN(10))
+	f.spreadDemand(0.3*t.RatePerSecond, 8+f.rng.IntN(10))
 	f.run(3 * time.Second)
-	f.spread(5*t.RatePerSecond, 8+f.rng.IntN(10))
+	f.spreadDemand(5*t.RatePerSecond, 8+f.rng.IntN(10))
 	f.run(6 * time.Second)
-	tr.do(f)
-	return f.most(time.Time{}) - allowed(f.team)
+	sc.run(f)
+	return f.maxPerWindow(time.Time{}) - windowLimit(f.team)
 }
 
 var teams = []team.Team{
@@ -288,78 +292,81 @@
 	{Name: "small", RatePerSecond: 6, Burst: 6},
 }
 
-// A team asks for five times its limit while callers move, VMs are cut off from each other,
-// die and start anew: upstreams get in no window more than it allows. Where nothing is kept
-// back for VMs that are not heard, the two halves of a fleet hand out the limit twice.
+// A team requests five times its limit while callers move and VMs are partitioned, crash
+// and restart. Upstreams must not get more than the window limit in any window. The seeded
+// fault has to be detected: without a reserve for VMs that send no reports, the two halves
+// of a partitioned fleet admit the limit twice.
 func TestLimitsHoldOverAllVMs(t *testing.T) {
 	const seeds = 6
 	for _, tm := range teams {
-		for _, tr := range troubles {
+		for _, sc := range scenarios {
 			for seed := range uint64(seeds) {
-				if over := play(seed, tm, tr, func(*fleet) {}); over > 0 {
-					t.Errorf("%s, %s, seed %d: %d requests over the limit of a window of %d", tm.Name, tr.name, seed, over, allowed(&tm))
+				if over := runScenario(seed, tm, sc, func(*fleet) {}); over > 0 {
+					t.Errorf("%s, %s, seed %d: %d requests over the limit of a window of %d", tm.Name, sc.name, seed, over, windowLimit(&tm))
 				}
 			}
 		}
 	}
 	found := slices.ContainsFunc([]uint64{0, 1, 2, 3}, func(seed uint64) bool {
-		return play(seed, teams[0], troubles[2], func(f *fleet) { f.noReserve = true }) > 0
+		return runScenario(seed, teams[0], scenarios[2], func(f *fleet) { f.noReserve = true }) > 0
 	})
 	if !found {
-		t.Error("nothing kept back for VMs that are not heard, and not found out")
+		t.Error("no window exceeded its limit without a reserve for VMs that send no reports")
 	}
 }
 
-// refusedShare plays a team within its limit and returns the share that is refused.
-func refusedShare(seed uint64, tm team.Team, vms int, change func(*fleet), trouble func(*fleet)) float64 {
+// refusedFraction runs a fleet with a team within its limit and returns the fraction of its
+// requests that is refused.
+func refusedFraction(seed uint64, tm team.Team, vms int, change func(*fleet), events func(*fleet)) float64 {
 	f := newFleet(seed, &tm)
 	change(f)
-	f.spread(tm.RatePerSecond/1.6, vms)
-	f.run(4 * time.Second) // Totals have to be heard first.
-	f.asked, f.refused = 0, 0
-	trouble(f)
-	return float64(f.refused) / float64(max(1, f.asked))
+	f.spreadDemand(tm.RatePerSecond/1.6, vms)
+	f.run(4 * time.Second) // Until the VMs have received totals.
+	f.requests, f.refused = 0, 0
+	events(f)
+	return float64(f.refused) / float64(max(1, f.requests))
 }
 
-// A team asks for 1/1.6 of its limit, at few VMs, as callers stay where they are connected:
-// next to nothing is refused, where equal parts refuse most. When all of them move to three
-// other VMs every three seconds, those are refused that come there before their demand is
-// heard, which takes a telling and two messages, 0.72 s, and have no room in the equal parts.
+// A team requests 1/1.6 of its limit at few VMs, as callers stay connected to the same VM.
+// At most one percent may be refused; equal shares refuse more than half of a large team's
+// requests. When all callers move to three other VMs every three seconds, requests beyond
+// the equal part of the shares there are refused until the new demand is known, which takes
+// a report interval and two messages, 0.72 s.
 func TestNothingIsRefusedBelowTheLimit(t *testing.T) {
-	const unheard = 0.72 / 3
+	const unreported = 0.72 / 3
 	stays := func(f *fleet) { f.run(12 * time.Second) }
 	moves := func(f *fleet) {
 		for range 4 {
 			f.run(3 * time.Second)
-			f.spread(f.team.RatePerSecond/1.6, 3)
+			f.spreadDemand(f.team.RatePerSecond/1.6, 3)
 		}
 	}
 	for _, tm := range teams {
 		for seed := range uint64(3) {
-			if got := refusedShare(seed, tm, 3, func(*fleet) {}, stays); got > 0.01 {
+			if got := refusedFraction(seed, tm, 3, func(*fleet) {}, stays); got > 0.01 {
 				t.Errorf("%s, seed %d: %.3f refused", tm.Name, seed, got)
 			}
-			if got := refusedShare(seed, tm, 12, func(*fleet) {}, stays); got > 0.01 {
+			if got := refusedFraction(seed, tm, 12, func(*fleet) {}, stays); got > 0.01 {
 				t.Errorf("%s at 12 VMs, seed %d: %.3f refused", tm.Name, seed, got)
 			}
-			if got := refusedShare(seed, tm, 3, func(*fleet) {}, moves); got > unheard/2 {
+			if got := refusedFraction(seed, tm, 3, func(*fleet) {}, moves); got > unreported/2 {
 				t.Errorf("%s, seed %d: %.3f refused of callers who move", tm.Name, seed, got)
 			}
-			if got := refusedShare(seed, tm, 3, func(f *fleet) { f.equal = true }, moves); tm.Name == "large" && got < 0.5 {
-				t.Errorf("equal parts refuse %.3f of a team at three VMs; the pattern does not show what it should", got)
+			if got := refusedFraction(seed, tm, 3, func(f *fleet) { f.equalShares = true }, moves); tm.Name == "large" && got < 0.5 {
+				t.Errorf("equal shares refuse only %.3f of a team at three VMs, so the traffic does not tell the policies apart", got)
 			}
 		}
 	}
 }
 
-// All VMs lose power and start again, and callers come back to two thirds of those that they
-// used. Nobody has told anything yet. A small team had less than one token at each VM, so its
-// first request at each was refused, and what is kept back for VMs that are not heard was
-// taken off the equal parts as well. Less than a tenth is refused over the seconds after.
+// All VMs crash and restart, and callers return to two thirds of the VMs that they used. No
+// VM has reported yet. Less than a tenth may be refused over the next three seconds. Faults
+// seen: a small team had less than one token at each VM, so its first request at each was
+// refused; and the reserve for VMs that send no reports was deducted from equal shares too.
 func TestTeamsAreServedAfterAllVMsStartAnew(t *testing.T) {
 	restart := func(f *fleet) {
 		for _, v := range f.vms {
-			v.dead = true
+			v.down = true
 		}
 		f.run(time.Second)
 		for _, v := range f.vms {
@@ -369,7 +376,7 @@
 	}
 	for _, tm := range teams {
 		for seed := range uint64(5) {
-			if got := refusedShare(seed, tm, 12, func(*fleet) {}, restart); got > 0.1 {
+			if got := refusedFraction(seed, tm, 12, func(*fleet) {}, restart); got > 0.1 {
 				t.Errorf("%s, seed %d: %.3f refused", tm.Name, seed, got)
 			}
 		}
--- a/core/ratelimit/limiter.go
+++ b/core/ratelimit/limiter.go
@@ -9,83 +9,83 @@
 )
 
 const (
-	// freshFor is how long totals are gone by: three tellings, so that one that is lost
-	// does not count.
-	freshFor = 1500 * time.Millisecond
-	// holdFor is how long a VM that hears no totals keeps its share.
-	holdFor = 2500 * time.Millisecond
-	// demandSpan is the time over which demand is averaged.
-	demandSpan = 1500 * time.Millisecond
-	// leastWait is the shortest time after which a caller is told to come back.
-	leastWait = 50 * time.Millisecond
-	// leastDemand is the demand in requests a second below which none is told of.
-	leastDemand = 0.05
+	// totalsTTL is how long totals are used: three report intervals, so that a lost message
+	// has no effect.
+	totalsTTL = 1500 * time.Millisecond
+	// shareTTL is how long a VM that receives no totals keeps its last share.
+	shareTTL = 2500 * time.Millisecond
+	// demandTimeConstant is the time constant over which demand is averaged.
+	demandTimeConstant = 1500 * time.Millisecond
+	// minRetryAfter is the shortest time after which a caller is told to retry.
+	minRetryAfter = 50 * time.Millisecond
+	// minDemand is the demand in requests per second below which it is not reported.
+	minDemand = 0.05
 )
 
-// Limiter is one VM's part of the teams' limits. It is safe for concurrent use. Its zero
-// value has no bounds, and refuses whatever a limited team asks beyond its rate.
+// Limiter enforces one VM's share of the teams' limits. It is safe for concurrent use. The
+// zero value has no bounds and refuses all that a limited team requests beyond its rate.
 type Limiter struct {
-	mu      sync.Mutex
-	bounds  Bounds
-	buckets map[string]*bucket
-	byID    map[ID]*bucket
-	vms     int       // The VMs that callers use.
-	heardAt time.Time // When totals were heard; zero: never.
-	silent  float64   // The part of all limits that VMs may use that are not heard.
-	heard   int       // Of how many VMs the totals were.
-	// base is the time of the first request: windows' slices count from it.
+	mu       sync.Mutex
+	bounds   Bounds
+	buckets  map[string]*bucket
+	byID     map[ID]*bucket
+	vmCount  int       // The number of VMs that callers use.
+	totalsAt time.Time // When the last totals were received; zero: never.
+	reserved float64   // The fraction of all limits reserved for VMs that send no reports.
+	reports  int       // The number of VMs whose demand the last totals include.
+	// base is the time of the first request, from which slices are numbered.
 	base time.Time
-	// first says that no VM had sent anything before this one started.
-	first bool
+	// noPriorTraffic is set if no VM had admitted anything before this one started.
+	noPriorTraffic bool
 }
 
-// bucket is a VM's part of one team's limit.
+// bucket is a VM's state for one team.
 type bucket struct {
-	id      ID
-	tokens  float64
-	at      time.Time // When tokens were counted; zero: the bucket was never used.
-	window  window
-	asked   meter
-	telling Demand // What was told last.
-	// told is the own part of total, what is asked of all VMs as it was heard at heardAt.
-	told, total Demand
-	heardAt     time.Time
-	share       share // As of the last totals that were fresh.
-	// promised is when the last of those refused was told to come back.
-	promised time.Time
+	id       ID
+	tokens   float64
+	at       time.Time // When tokens was updated; zero: the bucket has not been used yet.
+	window   window
+	demand   meter
+	reported Demand // The last report.
+	// total is the demand at all VMs as received at totalsAt, and counted this VM's own
+	// contribution to it.
+	counted, total Demand
+	totalsAt       time.Time
+	share          share // As of the last totals that were not older than totalsTTL.
+	// retryAt is the time at which the last refused caller was told to retry.
+	retryAt time.Time
 }
 
-// share is a VM's part of a team's limit.
+// share is a VM's share of a team's limit.
 type share struct {
 	part float64
-	// free parts are bound by their windows only.
-	free  bool
-	known bool
+	// lowLoad is set while requests need no token and only the window counts.
+	lowLoad bool
+	known   bool
 }
 
-// SetBounds sets what all limits have in common.
+// SetBounds sets the parameters that all limits share.
 func (l *Limiter) SetBounds(b Bounds) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.bounds = b
 }
 
-// NothingBefore says that no VM has sent anything before this one started.
+// NothingBefore states that no VM had admitted any request before this VM started.
 func (l *Limiter) NothingBefore() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.first = true
+	l.noPriorTraffic = true
 }
 
-// SetVMs sets how many VMs callers use, this one included.
+// SetVMs sets the number of VMs that callers use, including this one.
 func (l *Limiter) SetVMs(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.vms = n
+	l.vmCount = n
 }
 
-// Take takes one request of a team out of this VM's part. Where that is used up it
-// returns when the part carries the request.
+// Take admits one request of a team, or returns after which time the caller should retry.
 func (l *Limiter) Take(now time.Time, t *team.Team) (wait time.Duration, ok bool) {
 	if !t.Limited() {
 		return 0, true
@@ -93,57 +93,58 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.bucket(t.Name)
-	b.asked.add(now)
+	b.demand.add(now)
 	s := l.share(now, b, t)
-	rate, depth := l.bounds.whole(t)
+	rate, depth := l.bounds.bucketTotals(t)
 	rate, depth = rate*s.part, depth*s.part
-	b.fill(now, rate, depth)
-	if (s.free || b.tokens >= 1) && l.fits(now, b, t, s) {
+	b.refill(now, rate, depth)
+	if (s.lowLoad || b.tokens >= 1) && l.withinWindow(now, b, t, s) {
 		b.tokens = max(0, b.tokens-1)
 		b.window.add(l.slice(now), 1)
 		return 0, true
 	}
-	return b.comeBack(now, rate, l.bounds.Window), false
+	return b.retryAfter(now, rate, l.bounds.Window), false
 }
 
-// fits reports whether one more request stays within the window's bounds: that of this VM
-// and, as far as is known, that of all.
-func (l *Limiter) fits(now time.Time, b *bucket, t *team.Team, s share) bool {
-	allowed := l.bounds.allowed(t)
+// withinWindow reports whether one more request stays within the window allowance of this
+// VM and, as far as is known, within that of all VMs.
+func (l *Limiter) withinWindow(now time.Time, b *bucket, t *team.Team, s share) bool {
+	windowLimit := l.bounds.windowLimit(t)
 	own := int(b.window.sum(l.slice(now)))
-	if float64(own+1) > l.room(now, s, allowed) {
+	if float64(own+1) > l.windowAllowance(now, s, windowLimit) {
 		return false
 	}
-	if now.Sub(b.heardAt) > freshFor {
+	if now.Sub(b.totalsAt) > totalsTTL {
 		return true
 	}
-	others := max(0, b.total.Sent-b.told.Sent)
-	return float64(own+others+1) <= max(1, brakeAt*(1-l.silent)*allowed)
+	others := max(0, b.total.Sent-b.counted.Sent)
+	return float64(own+others+1) <= max(1, globalFraction*(1-l.reserved)*windowLimit)
 }
 
-// room is how many requests this VM may send in a window of which all together may have
-// allowed.
-func (l *Limiter) room(now time.Time, s share, allowed float64) float64 {
-	most := max(1, windowUsed*s.part*allowed)
-	young := !l.first && now.Sub(l.base) < l.bounds.Window
+// windowAllowance returns the number of requests that this VM may admit in a window, out of
+// the windowLimit of all VMs.
+func (l *Limiter) windowAllowance(now time.Time, s share, windowLimit float64) float64 {
+	allowance := max(1, windowFraction*s.part*windowLimit)
+	starting := !l.noPriorTraffic && now.Sub(l.base) < l.bounds.Window
 	switch {
-	case young && s.free:
-		return max(youngUsed*most, freeSends)
-	case young:
-		return youngUsed * most
-	case s.free:
-		return max(most+freeSpread*math.Sqrt(most), freeSends)
+	case starting && s.lowLoad:
+		return max(startupFraction*allowance, lowLoadRequests)
+	case starting:
+		return startupFraction * allowance
+	case s.lowLoad:
+		return max(allowance+lowLoadDeviations*math.Sqrt(allowance), lowLoadRequests)
 	}
-	return most
+	return allowance
 }
 
-// Charge counts a request that was sent on once more.
-func (l *Limiter) Charge(now time.Time, t *team.Team) { l.give(now, t, -1) }
+// Charge counts a request that was admitted and is sent a second time.
+func (l *Limiter) Charge(now time.Time, t *team.Team) { l.adjust(now, t, -1) }
 
-// Return gives a request back that was taken out and has not run.
-func (l *Limiter) Return(now time.Time, t *team.Team) { l.give(now, t, 1) }
+// Return undoes a Take whose request did not run.
+func (l *Limiter) Return(now time.Time, t *team.Team) { l.adjust(now, t, 1) }
 
-func (l *Limiter) give(now time.Time, t *team.Team, n int) {
+// adjust adds n tokens and takes n requests out of the window.
+func (l *Limiter) adjust(now time.Time, t *team.Team, n int) {
 	if !t.Limited() {
 		return
 	}
@@ -154,7 +155,7 @@
 	b.window.add(l.slice(now), -n)
 }
 
-// slice numbers the part of a window that a moment lies in.
+// slice returns the number of the window slice that contains now.
 func (l *Limiter) slice(now time.Time) int64 {
 	if l.base.IsZero() {
 		l.base = now
@@ -165,7 +166,7 @@
 func (l *Limiter) bucket(name string) *bucket {
 	b := l.buckets[name]
 	if b == nil {
-		b = l.named(IDOf(name))
+		b = l.bucketByID(IDOf(name))
 		if l.buckets == nil {
 			l.buckets = make(map[string]*bucket)
 		}
@@ -174,8 +175,9 @@
 	return b
 }
 
-// named returns the bucket of an ID, whose team may not have been asked for yet.
-func (l *Limiter) named(id ID) *bucket {
+// bucketByID returns the bucket of an ID. Totals may name a team that has not sent this VM
+// any request yet.
+func (l *Limiter) bucketByID(id ID) *bucket {
 	b := l.byID[id]
 	if b == nil {
 		b = &bucket{id: id}
@@ -187,70 +189,72 @@
 	return b
 }
 
-// share returns this VM's part of a team's limit.
+// share returns this VM's share of a team's limit.
 func (l *Limiter) share(now time.Time, b *bucket, t *team.Team) share {
-	equal := 1 / float64(max(1, l.vms))
-	switch age := now.Sub(l.heardAt); {
-	case l.heardAt.IsZero() || age > holdFor:
+	equal := 1 / float64(max(1, l.vmCount))
+	switch age := now.Sub(l.totalsAt); {
+	case l.totalsAt.IsZero() || age > shareTTL:
 		return share{part: equal}
-	case age > freshFor && b.share.known:
+	case age > totalsTTL && b.share.known:
 		return b.share
-	case age > freshFor:
-		return share{part: boundEqual * equal}
+	case age > totalsTTL:
+		return share{part: equalFraction * equal}
 	}
-	told, total := b.told.PerSecond, b.total.PerSecond
-	if now.Sub(b.heardAt) > freshFor {
-		told, total = 0, 0 // Totals that leave a team out say that little is asked.
+	own, total := b.counted.PerSecond, b.total.PerSecond
+	if now.Sub(b.totalsAt) > totalsTTL {
+		own, total = 0, 0 // The totals omit teams with little demand.
 	}
 	load := l.bounds.load(t, total)
-	s := share{free: load <= freeBelow*(1-l.silent), known: true}
-	even := boundEqual
-	if s.free {
-		even = max(freeEqual, 1-2*load)
+	s := share{lowLoad: load <= lowLoadThreshold*(1-l.reserved), known: true}
+	fraction := equalFraction
+	if s.lowLoad {
+		fraction = max(lowLoadEqualFraction, 1-2*load)
 	}
 	if total <= 0 {
-		told, total, even = 0, 1, 1
+		own, total, fraction = 0, 1, 1
 	}
-	// The equal part is that of one among all VMs that callers use; what follows demand is
-	// dealt out among those that are heard.
-	s.part = even*equal + (1-l.silent)*(1-even)*told/total
+	// The equal part is divided among all VMs that callers use, the part that follows demand
+	// among those that report.
+	s.part = fraction*equal + (1-l.reserved)*(1-fraction)*own/total
 	b.share = s
 	return s
 }
 
-// Hot reports whether VMs of which a team asks nothing yet should know of a demand.
+// Hot reports whether a team's demand is so high that VMs at which it has none should know
+// of it.
 func (l *Limiter) Hot(t *team.Team, perSecond float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return t.Limited() && l.bounds.load(t, perSecond) > freeEqual
+	return t.Limited() && l.bounds.load(t, perSecond) > lowLoadEqualFraction
 }
 
-// fill refills the bucket up to now. It begins full: a team that asked for nothing has
-// used nothing.
-func (b *bucket) fill(now time.Time, rate, depth float64) {
+// refill adds the tokens that accrued up to now. The bucket starts full, as the team has
+// not used any of it.
+func (b *bucket) refill(now time.Time, rate, depth float64) {
 	if b.at.IsZero() {
 		b.tokens, b.at = max(1, depth), now
 		return
 	}
-	if passed := now.Sub(b.at); passed > 0 {
-		b.tokens += rate * passed.Seconds()
+	if elapsed := now.Sub(b.at); elapsed > 0 {
+		b.tokens += rate * elapsed.Seconds()
 		b.at = now
 	}
 	b.tokens = min(b.tokens, max(1, depth))
 }
 
-// comeBack returns when the bucket carries one more request, after all that were refused
-// before: told the same moment, they would all be refused again but one.
-func (b *bucket) comeBack(now time.Time, rate float64, most time.Duration) time.Duration {
+// retryAfter returns when the bucket will have a token for one more request, after those of
+// all callers refused before. If all were told the same time, all but one would be refused
+// again.
+func (b *bucket) retryAfter(now time.Time, rate float64, longest time.Duration) time.Duration {
 	if rate <= 0 {
-		return most
+		return longest
 	}
 	first := now.Add(seconds((1 - b.tokens) / rate))
-	b.promised = latest(first, b.promised.Add(min(most, seconds(1/rate))))
-	if b.promised.Sub(now) > most {
-		b.promised = now.Add(most)
+	b.retryAt = latest(first, b.retryAt.Add(min(longest, seconds(1/rate))))
+	if b.retryAt.Sub(now) > longest {
+		b.retryAt = now.Add(longest)
 	}
-	return max(leastWait, b.promised.Sub(now))
+	return max(minRetryAfter, b.retryAt.Sub(now))
 }
 
 func seconds(s float64) time.Duration {
@@ -264,54 +268,55 @@
 	return b
 }
 
-// Demand returns what is asked of this VM, to be told to the collector.
+// Demand returns the demand at this VM, to be reported to the collector.
 func (l *Limiter) Demand(now time.Time) []Demand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []Demand
 	for _, b := range l.byID {
-		b.telling = Demand{b.id, b.asked.rate(now), int(b.window.sum(l.slice(now)))}
-		if b.telling.PerSecond < leastDemand && b.telling.Sent == 0 {
-			b.telling = Demand{}
+		b.reported = Demand{b.id, b.demand.rate(now), int(b.window.sum(l.slice(now)))}
+		if b.reported.PerSecond < minDemand && b.reported.Sent == 0 {
+			b.reported = Demand{}
 			continue
 		}
-		list = append(list, b.telling)
+		list = append(list, b.reported)
 	}
 	return list
 }
 
-// Heard takes in what is asked of all VMs. Totals of fewer VMs than those that are still
-// fresh are left out: they come of a collector that has not been told by all yet.
+// Heard applies totals received from the collector. Totals that include fewer VMs than the
+// previous ones are ignored while those are fresh: they come from a collector that has not
+// received all reports yet.
 func (l *Limiter) Heard(now time.Time, t Total) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if t.Heard < l.heard && now.Sub(l.heardAt) < freshFor {
+	if t.Heard < l.reports && now.Sub(l.totalsAt) < totalsTTL {
 		return
 	}
-	l.heardAt, l.heard, l.silent = now, t.Heard, min(1, max(0, t.Silent))
+	l.totalsAt, l.reports, l.reserved = now, t.Heard, min(1, max(0, t.Silent))
 	for _, d := range t.Demands {
-		b := l.named(d.Team)
-		b.told, b.total, b.heardAt = b.telling, d, now
-		b.total.PerSecond = max(d.PerSecond, b.telling.PerSecond)
+		b := l.bucketByID(d.Team)
+		b.counted, b.total, b.totalsAt = b.reported, d, now
+		b.total.PerSecond = max(d.PerSecond, b.reported.PerSecond)
 	}
 }
 
-// Age returns how long ago totals were heard.
+// Age returns the time since totals were last received.
 func (l *Limiter) Age(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return now.Sub(l.heardAt)
+	return now.Sub(l.totalsAt)
 }
 
-// Usage is what a VM knows of one team's limit.
+// Usage is what a VM knows of the use of one team's limit.
 type Usage struct {
-	// Own is what is asked of this VM, Total of all, in requests a second.
+	// Own is the demand at this VM, Total that at all VMs, in requests per second.
 	Own, Total float64
-	// Part is this VM's part of the limit.
+	// Part is this VM's share of the limit, from 0 to 1.
 	Part float64
 }
 
-// Usage returns what is known of a team's limit.
+// Usage returns what this VM knows of the use of a team's limit.
 func (l *Limiter) Usage(now time.Time, t *team.Team) Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -319,5 +324,5 @@
 	if b == nil {
 		return Usage{}
 	}
-	return Usage{Own: b.asked.rate(now), Total: b.total.PerSecond, Part: l.share(now, b, t).part}
+	return Usage{Own: b.demand.rate(now), Total: b.total.PerSecond, Part: l.share(now, b, t).part}
 }
