--- a/core/throttle/throttle_test.go
+++ b/core/throttle/throttle_test.go
@@ -26,15 +26,15 @@
 		limited   bool
 		perSecond float64
 	}{
-		{"none named", 0, 10, throttle.Notice{}, false, false, 0},
-		{"unreadable without a limit", 10, 20, throttle.Notice{Kind: throttle.Unreadable}, false, false, 0},
-		{"named", 20, 100, named(7.5), true, true, 7.5},
-		{"an answer overtaken by the word", 30, 110, throttle.Notice{}, false, true, 7.5},
-		{"named again", 40, 120, named(7.5), false, true, 7.5},
+		{"no limit", 0, 10, throttle.Notice{}, false, false, 0},
+		{"unreadable, no limit in force", 10, 20, throttle.Notice{Kind: throttle.Unreadable}, false, false, 0},
+		{"limited", 20, 100, named(7.5), true, true, 7.5},
+		{"no limit, sent before the limit was received", 30, 110, throttle.Notice{}, false, true, 7.5},
+		{"same limit again", 40, 120, named(7.5), false, true, 7.5},
 		{"unreadable", 130, 140, throttle.Notice{Kind: throttle.Unreadable}, false, true, 7.5},
 		{"lowered", 140, 150, named(2), true, true, 2},
-		{"over", 160, 200, throttle.Notice{}, true, false, 0},
-		{"named once more", 210, 220, named(1), true, true, 1},
+		{"lifted", 160, 200, throttle.Notice{}, true, false, 0},
+		{"limited once more", 210, 220, named(1), true, true, 1},
 	} {
 		changed := l.Answered(at(step.now), at(step.sent), step.notice)
 		perSecond, limited := l.PerSecond()
@@ -47,7 +47,7 @@
 func TestReady(t *testing.T) {
 	var unlimited throttle.Limit
 	if !unlimited.Take(at(0), throttle.Place{}) {
-		t.Error("without a limit a VM that knows no others may not send")
+		t.Error("without a limit, a VM that knows no others may not send")
 	}
 	for _, c := range []struct {
 		name      string
@@ -56,14 +56,14 @@
 		after     int
 		want      bool
 	}{
-		{"no other VM, a part of a second", 2, throttle.Place{VMs: 1}, 100, false},
-		{"no other VM", 2, throttle.Place{VMs: 1}, 600, true},
+		{"only VM, part of a token", 2, throttle.Place{VMs: 1}, 100, false},
+		{"only VM", 2, throttle.Place{VMs: 1}, 600, true},
 		{"just started", 2, throttle.Place{}, 5000, false},
 		{"first of many", 2, throttle.Place{VMs: 100}, 3000, true},
 		{"last of many", 2, throttle.Place{Rank: 99, VMs: 100}, 9000, false},
-		{"nothing is taken", 0, throttle.Place{VMs: 2}, 9000, false},
-		{"nothing is taken, asked now and then", 0, throttle.Place{VMs: 2}, 10_000, true},
-		{"nothing heard for long", 2, throttle.Place{Rank: 5, VMs: 100}, 18_500, true},
+		{"limit of zero", 0, throttle.Place{VMs: 2}, 9000, false},
+		{"limit of zero, after 1/minRate", 0, throttle.Place{VMs: 2}, 10_000, true},
+		{"additional sender after silence", 2, throttle.Place{Rank: 5, VMs: 100}, 18_500, true},
 	} {
 		var l throttle.Limit
 		l.Answered(at(0), at(0), named(c.perSecond))
@@ -77,34 +77,34 @@
 	limited := func(perSecond float64, age int) throttle.Report {
 		return throttle.Report{Limited: true, PerSecond: perSecond, Age: time.Duration(age) * time.Millisecond}
 	}
-	over := func(age int) throttle.Report { return throttle.Report{Age: time.Duration(age) * time.Millisecond} }
+	lifted := func(age int) throttle.Report { return throttle.Report{Age: time.Duration(age) * time.Millisecond} }
 	for _, c := range []struct {
 		name    string
-		own     throttle.Notice // Heard at 0.
-		told    throttle.Report // Told at 1 s.
+		own     throttle.Notice // Received at 0.
+		report  throttle.Report // Received at 1 s.
 		limited bool
 	}{
-		{"a limit", throttle.Notice{}, limited(2, 100), true},
-		{"no number", throttle.Notice{}, limited(math.NaN(), 100), false},
+		{"limited", throttle.Notice{}, limited(2, 100), true},
+		{"not a number", throttle.Notice{}, limited(math.NaN(), 100), false},
 		{"negative", throttle.Notice{}, limited(-1, 100), false},
-		{"over, newer than the own word", named(2), over(100), false},
-		{"over, no newer than the own word for certain", named(2), over(600), true},
-		{"over, older than the own word", named(2), over(2000), true},
+		{"lifted, newer than the own notice", named(2), lifted(100), false},
+		{"lifted, newer than the own notice by less than relayMargin", named(2), lifted(600), true},
+		{"lifted, older than the own notice", named(2), lifted(2000), true},
 	} {
 		var l throttle.Limit
 		l.Answered(at(0), at(0), c.own)
-		l.Told(at(1000), c.told)
+		l.Told(at(1000), c.report)
 		if _, got := l.PerSecond(); got != c.limited {
 			t.Errorf("%s: limited %v, want %v", c.name, got, c.limited)
 		}
 	}
 }
 
-// What a VM hears is told on as long as it matters, with its age.
+// A limit is reported with its age while it is in force, and its end for liftedTTL.
 func TestReport(t *testing.T) {
 	var l throttle.Limit
 	if r, ok := l.Report(at(0)); ok {
-		t.Errorf("nothing heard: %+v", r)
+		t.Errorf("no notice received: %+v", r)
 	}
 	l.Answered(at(0), at(0), named(2))
 	if r, ok := l.Report(at(1000)); !ok || r != (throttle.Report{Limited: true, PerSecond: 2, Age: time.Second}) {
@@ -112,9 +112,9 @@
 	}
 	l.Answered(at(2000), at(1500), throttle.Notice{})
 	if r, ok := l.Report(at(3000)); !ok || r != (throttle.Report{Age: time.Second}) {
-		t.Errorf("over: %+v %v", r, ok)
+		t.Errorf("lifted: %+v %v", r, ok)
 	}
 	if r, ok := l.Report(at(60_000)); ok {
-		t.Errorf("over for long: %+v", r)
+		t.Errorf("lifted 58 s ago: %+v", r)
 	}
 }
