--- a/core/claim/attempt_test.go
+++ b/core/claim/attempt_test.go
@@ -25,19 +25,19 @@
 		verdict verdict.Verdict
 		reason  verdict.Reason
 	}{
-		{name: "won", results: []Result{{Outcome: Applied, Version: 1}}, want: Dispatch},
-		{name: "never sent", results: []Result{{Outcome: NotSent}}, want: Refuse, verdict: verdict.NotRun, reason: verdict.ReasonPlatform},
-		{name: "done before", results: []Result{conflict(3, "other", Done, "digest")}, want: Replay},
-		{name: "in another's hands", results: []Result{conflict(3, "other", Claimed, "digest")}, want: Refuse, verdict: verdict.MaybeRan, reason: verdict.ReasonInProgress},
-		{name: "another request", results: []Result{conflict(3, "other", Done, "else")}, want: Refuse, verdict: verdict.NotRun, reason: verdict.ReasonKeyReused},
-		{name: "a tombstone is replaced", results: []Result{conflict(3, "other", Tombstone, "digest"), {Outcome: Applied, Version: 4}}, want: Dispatch},
-		{name: "the row went away", results: []Result{conflict(0, "", Absent, ""), {Outcome: Applied, Version: 4}}, want: Dispatch},
-		{name: "lost, tombstone wins", results: []Result{{Outcome: Unknown}, {Outcome: Applied, Version: 1}}, want: Refuse, verdict: verdict.NotRun, reason: verdict.ReasonPlatform},
-		{name: "lost, own claim stands", results: []Result{{Outcome: Unknown}, conflict(1, "own", Claimed, "digest")}, want: Dispatch},
-		{name: "lost, another ran it", results: []Result{{Outcome: Unknown}, conflict(1, "other", Done, "digest")}, want: Replay},
-		{name: "lost, tombstone lost: told at once, settled on", results: []Result{{Outcome: Unknown}, {Outcome: Unknown}}, want: Write, verdict: verdict.NotRun, reason: verdict.ReasonPlatform},
-		{name: "told, then own claim found: given back", results: []Result{{Outcome: Unknown}, {Outcome: Unknown}, conflict(1, "own", Claimed, "digest")}, want: Write, verdict: verdict.NotRun, reason: verdict.ReasonPlatform},
-		{name: "told, then own tombstone found", results: []Result{{Outcome: Unknown}, {Outcome: Unknown}, conflict(2, "own", Tombstone, "digest")}, want: Stop},
+		{name: "applied", results: []Result{{Outcome: Applied, Version: 1}}, want: Dispatch},
+		{name: "not sent", results: []Result{{Outcome: NotSent}}, want: Refuse, verdict: verdict.NotRun, reason: verdict.ReasonPlatform},
+		{name: "already done", results: []Result{conflict(3, "other", Done, "digest")}, want: Replay},
+		{name: "claimed by another attempt", results: []Result{conflict(3, "other", Claimed, "digest")}, want: Refuse, verdict: verdict.MaybeRan, reason: verdict.ReasonInProgress},
+		{name: "key of another request", results: []Result{conflict(3, "other", Done, "else")}, want: Refuse, verdict: verdict.NotRun, reason: verdict.ReasonKeyReused},
+		{name: "tombstone replaced", results: []Result{conflict(3, "other", Tombstone, "digest"), {Outcome: Applied, Version: 4}}, want: Dispatch},
+		{name: "row deleted meanwhile", results: []Result{conflict(0, "", Absent, ""), {Outcome: Applied, Version: 4}}, want: Dispatch},
+		{name: "response lost, tombstone applied", results: []Result{{Outcome: Unknown}, {Outcome: Applied, Version: 1}}, want: Refuse, verdict: verdict.NotRun, reason: verdict.ReasonPlatform},
+		{name: "response lost, own claim found", results: []Result{{Outcome: Unknown}, conflict(1, "own", Claimed, "digest")}, want: Dispatch},
+		{name: "response lost, done by another attempt", results: []Result{{Outcome: Unknown}, conflict(1, "other", Done, "digest")}, want: Replay},
+		{name: "both responses lost: refused at once, settling goes on", results: []Result{{Outcome: Unknown}, {Outcome: Unknown}}, want: Write, verdict: verdict.NotRun, reason: verdict.ReasonPlatform},
+		{name: "refused, then own claim found: released", results: []Result{{Outcome: Unknown}, {Outcome: Unknown}, conflict(1, "own", Claimed, "digest")}, want: Write, verdict: verdict.NotRun, reason: verdict.ReasonPlatform},
+		{name: "refused, then own tombstone found", results: []Result{{Outcome: Unknown}, {Outcome: Unknown}, conflict(2, "own", Tombstone, "digest")}, want: Stop},
 	} {
 		a := attempt()
 		act := a.Start(start)
@@ -51,24 +51,24 @@
 			t.Errorf("%s: action %v, want %v", tc.name, act.Kind, tc.want)
 		}
 		if tc.reason != "" && (act.Err == nil || act.Err.Verdict != tc.verdict || act.Err.Reason != tc.reason) {
-			t.Errorf("%s: told %v, want %v %v", tc.name, act.Err, tc.verdict, tc.reason)
+			t.Errorf("%s: refused with %v, want %v %v", tc.name, act.Err, tc.verdict, tc.reason)
 		}
 	}
 }
 
-// The holder is paused between its claim and the dispatch, past its deadline.
-// An operator may have resolved the claim as not run, and the caller come again;
-// dispatching now would book twice.
-func TestHolderThatWakesLateGivesTheClaimBack(t *testing.T) {
+// The holder is paused between its claim and the dispatch until after its
+// deadline. An operator may have resolved the claim as not run, and the caller
+// may have retried; dispatching now would run the operation twice.
+func TestPausedHolderReleasesClaim(t *testing.T) {
 	a := attempt()
 	a.Start(start)
 	act := a.Written(start.Add(time.Minute), Result{Outcome: Applied, Version: 1})
 	if act.Kind != Write || act.Row.State != Tombstone || act.If != 1 || act.Err == nil || act.Err.Reason != verdict.ReasonDeadline {
-		t.Errorf("after the pause: %+v, want the claim given back and NotRun told", act)
+		t.Errorf("after the pause: %+v, want the claim released and a NotRun refusal for the deadline", act)
 	}
 	row := Row{State: Claimed, Deadline: a.Deadline}
 	if MayResolve(start.Add(time.Minute), row) || !MayResolve(start.Add(time.Hour), row) {
-		t.Errorf("an operator may resolve %v after the deadline, not before", MaxWriteDelay)
+		t.Errorf("an operator must be able to resolve a claim %v after its deadline, not before", MaxWriteDelay)
 	}
 }
 
@@ -80,10 +80,10 @@
 		want   Kind
 		state  State
 	}{
-		{"an answer is kept", &Answer{Status: 201}, nil, Write, Done},
-		{"not run: the claim is given back", nil, verdict.New(verdict.NotRun, verdict.ReasonShed, 0), Write, Tombstone},
-		{"nobody knows: the claim stays", nil, verdict.New(verdict.MaybeRan, verdict.ReasonBroken, 0), Stop, Absent},
-		{"ran, the answer broke off: the claim stays", nil, verdict.New(verdict.Ran, verdict.ReasonBroken, 0), Stop, Absent},
+		{"response: stored", &Answer{Status: 201}, nil, Write, Done},
+		{"not run: claim released", nil, verdict.New(verdict.NotRun, verdict.ReasonShed, 0), Write, Tombstone},
+		{"may have run: claim kept", nil, verdict.New(verdict.MaybeRan, verdict.ReasonBroken, 0), Stop, Absent},
+		{"ran, response incomplete: claim kept", nil, verdict.New(verdict.Ran, verdict.ReasonBroken, 0), Stop, Absent},
 	} {
 		a := attempt()
 		a.Start(start)
@@ -98,7 +98,7 @@
 func TestGateLetsOneThroughWhileShut(t *testing.T) {
 	var g Gate
 	if !g.Allow(start) {
-		t.Fatal("shut at first")
+		t.Fatal("open at first")
 	}
 	g.Report(start, Unknown)
 	allowed := 0
@@ -108,10 +108,10 @@
 		}
 	}
 	if allowed != 2 {
-		t.Errorf("%d let through in 2.5 s, want 2", allowed)
+		t.Errorf("%d claims allowed in 2.5 s, want 2", allowed)
 	}
 	g.Report(start.Add(3*time.Second), Applied)
 	if !g.Allow(start.Add(3 * time.Second)) {
-		t.Error("still shut after an answer")
+		t.Error("still open after a write was applied")
 	}
 }
--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -1,26 +1,26 @@
 // Package claim decides how a request that must not run twice is claimed,
-// dispatched and settled. It is a pure state machine: it asks for writes to
-// the platform's table by returning actions and hears what became of them as
-// events. Package platform carries the writes out; spec/claim.pml is the same
+// dispatched and settled. It is a pure state machine: it returns the writes to
+// the platform's table as actions and receives their results as events.
+// Package platform carries the writes out; spec/claim.pml models the same
 // protocol for the model checker.
 //
 // # The protocol
 //
-// A row in the table, under (service, caller, key), stands for the operation.
+// A row in the table, under (service, caller, key), represents the operation.
 // Every write to it is a compare-and-set on the row last seen. An attempt
 // writes a row with its own unique ID in state Claimed; only the attempt whose
-// ID stands in the row may dispatch, and only once. A row in state Done holds
-// the answer. A Tombstone says that the attempts before it can never win, so a
-// later one may take its place.
+// ID is in the row may dispatch, and only once. A row in state Done holds the
+// response. A Tombstone says that the attempts before it can no longer claim
+// the row, so a later one may replace it.
 //
-// # A lost answer
+// # A lost response
 //
-// When the answer to the claiming write is lost, the write may have taken
-// effect, may still do so later, or may never. One read decides nothing, as the
-// write can land after it. So the attempt writes a tombstone on the same
-// condition as the claim: at most one of the two can ever be applied. If the
-// tombstone wins, the claim never will; if the own claim is found there, the
-// attempt goes on.
+// If the table's response to the claiming write is lost, the write may have
+// taken effect, may still do so later, or may never. A read does not settle
+// it, as the write can arrive after the read. So the attempt writes a
+// tombstone on the same condition as the claim: at most one of the two can
+// ever be applied. If the tombstone is applied, the claim never will be; if
+// the attempt finds its own claim instead, it goes on.
 //
 // # Usage
 //
@@ -30,8 +30,8 @@
 //		act = a.Written(time.Now(), table.CompareAndSet(act))
 //	}
 //
-// After Dispatch the caller reports the outcome by Finish, and carries out the
-// writes that follow in the background.
+// After Dispatch the caller of this package reports the outcome by Finish, and
+// carries out the writes that follow in the background.
 package claim
 
 import (
@@ -40,24 +40,25 @@
 	"auburnlatch/core/verdict"
 )
 
-// Retention and lateness. A row must outlive every write that could still
-// arrive for it: were it deleted sooner, a late claim on the condition "no
-// row" would win after the operation had already run.
+// Retention and delays. A row must outlive every write that could still arrive
+// for it: if it were deleted sooner, a late claim on the condition "no row"
+// would be applied after the operation had already run.
 const (
-	// MaxWriteDelay is the longest a table write is assumed to be under way.
+	// MaxWriteDelay is the longest time that a table write is assumed to be in
+	// flight.
 	MaxWriteDelay = 10 * time.Minute
 	// Retention is how long a row is kept after its last write.
 	Retention = 7 * 24 * time.Hour
 	// DispatchMargin is the time before the deadline at which a holder stops
-	// dispatching, for clocks that differ and for the way to the upstream.
+	// dispatching. It covers clock skew and the network delay to the upstream.
 	DispatchMargin = 50 * time.Millisecond
 )
 
-// RetryUnknown is when a caller should come back for an operation whose
-// outcome is not known yet.
+// RetryUnknown is after which time a caller should retry an operation whose
+// outcome is not known yet, or that cannot be claimed at present.
 const RetryUnknown = time.Second
 
-// Key names an operation.
+// Key identifies an operation.
 type Key struct {
 	Service string
 	// Caller is the caller's identity; two callers may use the same key.
@@ -66,7 +67,7 @@
 	Idempotency string
 }
 
-// State of a row.
+// State is the state of a row.
 type State int
 
 // The states of a row. The zero value stands for "no row".
@@ -91,26 +92,26 @@
 	}
 }
 
-// Holder is the VM that made an attempt, in the life it made it in.
+// Holder is the VM that made an attempt, with its incarnation at that time.
 type Holder struct {
 	VM          string
 	Incarnation uint64
 }
 
-// Header is one field of a stored answer.
+// Header is one field of a stored response.
 type Header struct {
 	Name   string
 	Values []string
 }
 
-// Answer is a whole answer kept for replay.
+// Answer is a complete response, stored for replay.
 type Answer struct {
 	Status  int
 	Headers []Header
 	Body    []byte
-	// Object names the body in the object store where Body is not used.
+	// Object names the body in the object store, if Body is not used.
 	Object string
-	// TooLarge: the answer was not kept.
+	// TooLarge is set if the response was not stored.
 	TooLarge bool
 }
 
@@ -129,31 +130,32 @@
 // 0 stands for "no row".
 type Version uint64
 
-// Outcome of a write.
+// Outcome is the outcome of a write.
 type Outcome int
 
 // The outcomes of a write.
 const (
-	// Unknown: the answer was lost. The write may be applied, now or later.
+	// Unknown: the table's response was lost. The write may be applied, now or
+	// later.
 	Unknown Outcome = iota
 	// Applied: the write took effect.
 	Applied
-	// Conflict: the row was not the one the write asked for.
+	// Conflict: the row did not have the version required by the write.
 	Conflict
-	// NotSent: the write never left, and never will.
+	// NotSent: the write was not sent, and never will be.
 	NotSent
 )
 
-// Result is what became of a write.
+// Result is the result of a write.
 type Result struct {
 	Outcome Outcome
-	// Version after the write where Applied, of Row where Conflict.
+	// Version is the version after the write if Applied, that of Row if Conflict.
 	Version Version
-	// Row found where Conflict; its State may be Absent.
+	// Row is the row found if Conflict; its State may be Absent.
 	Row Row
 }
 
-// Kind of an action.
+// Kind is the kind of an action.
 type Kind int
 
 // The kinds of actions.
@@ -162,15 +164,15 @@
 	Write Kind = iota
 	// Dispatch the request now, once.
 	Dispatch
-	// Replay the stored answer to the caller.
+	// Replay the stored response to the caller.
 	Replay
-	// Refuse the request with Verdict and Reason.
+	// Refuse the request with Err.
 	Refuse
 	// Stop: there is nothing left to do.
 	Stop
 )
 
-// Action is what the attempt wants done next.
+// Action is the next step that an attempt requires.
 type Action struct {
 	Kind Kind
 	// If and Row belong to Write.
@@ -178,7 +180,7 @@
 	Row Row
 	// Answer belongs to Replay.
 	Answer *Answer
-	// Err belongs to Refuse. A Write that carries it concerns the row only: the
-	// caller is given Err at once, and the write goes on in the background.
+	// Err belongs to Refuse. A Write that has it concerns the row only: the
+	// caller gets Err at once, and the write goes on in the background.
 	Err *verdict.Error
 }
--- a/core/claim/example_test.go
+++ b/core/claim/example_test.go
@@ -7,8 +7,8 @@
 	"auburnlatch/core/claim"
 )
 
-// The answer to a claim is lost. The attempt settles it by a tombstone on the
-// same condition, finds its own claim standing, and goes on.
+// The response to a claim is lost. The attempt writes a tombstone on the same
+// condition, finds that its own claim was applied, and goes on.
 func ExampleAttempt() {
 	now := time.Unix(0, 0)
 	key := claim.Key{Service: "programari", Caller: "depot-cluj", Idempotency: "itp-1"}
--- a/core/claim/gate.go
+++ b/core/claim/gate.go
@@ -5,38 +5,40 @@
 	"time"
 )
 
-// reopenAfter is how long the gate stays shut after a write without an answer.
-const reopenAfter = time.Second
+// probeInterval is the time from a failed write to the next claim that is let through, and
+// between two such claims.
+const probeInterval = time.Second
 
-// Gate refuses new claims at once while the table does not answer, so that a
-// caller need not wait for a timeout to learn it. One claim in a while is let
-// through to try. It is safe for concurrent use; the zero value is open.
+// Gate is a circuit breaker for claims: while the table does not respond, it refuses new
+// claims at once, so that callers need not wait for a timeout. One claim per probeInterval
+// is let through as a probe. It is safe for concurrent use; the zero value is closed, which
+// lets all claims through.
 type Gate struct {
-	mu     sync.Mutex
-	shut   bool
-	nextAt time.Time
+	mu        sync.Mutex
+	open      bool
+	nextProbe time.Time
 }
 
 // Allow reports whether a claim may be tried now.
 func (g *Gate) Allow(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.shut {
+	if !g.open {
 		return true
 	}
-	if now.Before(g.nextAt) {
+	if now.Before(g.nextProbe) {
 		return false
 	}
-	g.nextAt = now.Add(reopenAfter)
+	g.nextProbe = now.Add(probeInterval)
 	return true
 }
 
-// Report takes in the outcome of a write.
+// Report records the outcome of a write.
 func (g *Gate) Report(now time.Time, o Outcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.shut = o == Unknown || o == NotSent
-	if g.shut {
-		g.nextAt = now.Add(reopenAfter)
+	g.open = o == Unknown || o == NotSent
+	if g.open {
+		g.nextProbe = now.Add(probeInterval)
 	}
 }
