--- a/core/route/doc.go
+++ b/core/route/doc.go
@@ -1,6 +1,6 @@
-// Package route holds the rules by which a request finds its service: which
-// host and path belong to which route, what may be repeated, how long it may
-// take, and how a route's traffic is split.
+// Package route holds the rules by which a request is routed to a service:
+// which host and path belong to which route, whether a request may be retried,
+// how long it may take, and how a route's traffic is split.
 //
 // # Usage
 //
@@ -9,7 +9,7 @@
 //
 //	table, err := route.NewTable(cfg)
 //	r := table.Find(host, path)     // nil: no route matches
-//	service := r.Pick(key, &picks)  // which part of a split route
+//	service := r.Pick(key, &picks)  // the service for this request
 package route
 
 import (
@@ -18,11 +18,11 @@
 	"auburnlatch/core/team"
 )
 
-// Kind says what may be repeated.
+// Kind says whether a request may be retried.
 type Kind int
 
-// The kinds of request. The zero value may not be repeated, so that a kind
-// nobody set is the careful one.
+// The kinds of request. The zero value may not be retried, which is the safe
+// choice for a kind that was not set.
 const (
 	// NonIdempotent requests run at most once.
 	NonIdempotent Kind = iota
@@ -32,7 +32,7 @@
 	Upload
 )
 
-// String returns the kind's name as it stands in logs.
+// String returns the kind's name as used in logs.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -44,33 +44,35 @@
 	}
 }
 
-// Route is one rule.
+// Route is one routing rule.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest a request may be kept waiting; 0: only the
-	// caller's own deadline counts.
+	// Timeout is the longest time that a caller may wait for the response; 0:
+	// only the caller's own deadline applies.
 	Timeout time.Duration
-	// Objective is the time within which an answer is worth most to a caller.
+	// Objective is the response time up to which a response has its full value
+	// for a caller.
 	Objective time.Duration
-	// Attempts is how many upstreams one request may be sent to.
+	// Attempts is the maximum number of upstreams to which one request is sent.
 	Attempts int
-	// Priority is the rank under pressure, 0 being the highest.
+	// Priority orders requests under overload, 0 being the highest.
 	Priority int
-	// Parts has one service, or several that share the route's traffic.
+	// Parts has one service, or several among which the route's traffic is split.
 	Parts []Part
-	// Sticky upstreams answer faster for an object they handled lately.
+	// Sticky routes have upstreams that respond faster for an object which they
+	// served recently.
 	Sticky bool
 	// Homes are the regions that may serve the route; none: all may.
 	Homes []string
-	// Open routes need no key where there are teams.
+	// Open routes require no key even if there are teams.
 	Open bool
 }
 
-// Part is a service's share of a route.
+// Part is a service with its share of a route's traffic.
 type Part struct {
 	Service string
 	// Weight is relative to the sum of the route's weights.
@@ -90,15 +92,17 @@
 	return false
 }
 
-// Service is what the configuration says of a service.
+// Service is the configuration of a service.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConns is how many connections one upstream accepts from all callers.
+	// MaxConns is the number of connections that one upstream accepts from all
+	// clients together.
 	MaxConns int
 	// ColdFor is how long an upstream is cold after its start.
 	ColdFor time.Duration
-	// ColdPerSecond is how many requests a second a cold upstream bears.
+	// ColdPerSecond is the number of requests per second that a cold upstream
+	// can handle.
 	ColdPerSecond float64
 }
 
@@ -116,6 +120,6 @@
 	Routes   []*Route
 	Services []*Service
 	Limits   Limits
-	// Teams are those whose keys callers need; nil: nobody needs one.
+	// Teams are the teams whose keys identify callers; nil: no key is required.
 	Teams []*team.Team
 }
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -33,7 +33,7 @@
 	)
 	for _, tc := range []struct{ host, path, want string }{
 		{"h", "/", "root"},
-		{"h", "/x", "root"}, // A prefix ends with its slash.
+		{"h", "/x", "root"}, // Prefixes include the final slash.
 		{"h", "/x/", "x"},
 		{"h", "/x/yy/z", "x"},
 		{"h", "/x/y/z", "xy"},
@@ -61,14 +61,15 @@
 	} {
 		cfg := &route.Config{Services: []*route.Service{{Name: "a"}}, Routes: []*route.Route{r}}
 		if _, err := route.NewTable(cfg); err == nil {
-			t.Errorf("%s: NewTable took it", name)
+			t.Errorf("%s: NewTable returned no error", name)
 		}
 	}
 }
 
-// A route is split 90 to 10 between two services, and one object gets most of
-// the requests. Chosen by the object's key alone, all of those go to one part,
-// and the operator who moves a tenth of the traffic sees none or all of it move.
+// A route's traffic is split between two services, and one object gets most of
+// the requests. If the part were chosen by the object's key alone, all of these
+// would go to one part, and an operator who moves a tenth of the traffic to another
+// service would see none or nearly all of it move.
 func TestSplitKeepsToWeights(t *testing.T) {
 	for _, weights := range [][2]float64{{90, 10}, {50, 50}, {1, 3}} {
 		r := &route.Route{Name: "r", Prefix: "/", Parts: []route.Part{{Service: "a", Weight: weights[0]}, {Service: "b", Weight: weights[1]}}}
--- a/core/route/split.go
+++ b/core/route/split.go
@@ -7,32 +7,34 @@
 )
 
 const (
-	// splitTolerance is how far a part's counted share may stray from its
-	// weight before a request goes to the part that is furthest behind. It is a
-	// third of the 0.1 that callers of the split tolerate.
+	// splitTolerance is how far a part's counted share may exceed its weight
+	// before a request goes to the part that is furthest below its weight. It is a
+	// third of 0.1, the largest deviation that operators accept.
 	splitTolerance = 0.03
-	// splitMemory is how many requests the counts cover, as a decay: about ten
-	// seconds of one VM's traffic on a busy route.
-	splitMemory = 400
+	// splitWindow is the number of requests that the counts cover, as the constant
+	// of an exponential decay: about ten seconds of one VM's traffic on a busy
+	// route.
+	splitWindow = 400
 )
 
-// Picks counts where a VM has sent the requests of split routes. The zero value
-// is ready. It is safe for concurrent use.
+// Picks counts to which services a VM has sent the requests of split routes. The
+// zero value is ready to use. It is safe for concurrent use.
 type Picks struct {
 	mu     sync.Mutex
 	routes map[string]*splitCount
 }
 
-// splitCount is the decayed count of one route's parts.
+// splitCount has the decayed counts of one route's parts.
 type splitCount struct {
 	total float64
 	parts map[string]float64
 }
 
-// Pick returns the service of one request. An object's key leads to the same
-// part while shares allow it, as an upstream that knows the object is faster;
-// counting keeps the shares at the weights whatever the keys are: few objects
-// hashed alone would stray by a multiple of the tolerance.
+// Pick returns the service for one request. Requests with the same key, an
+// object's, go to the same part while shares allow it, since an upstream that has
+// served the object responds faster. The counts keep the shares close to the
+// weights for any distribution of keys: with few objects, hashing alone would
+// deviate by a multiple of the tolerance.
 func (r *Route) Pick(key string, picks *Picks) string {
 	if len(r.Parts) == 1 {
 		return r.Parts[0].Service
@@ -40,7 +42,7 @@
 	picks.mu.Lock()
 	defer picks.mu.Unlock()
 	c := picks.count(r.Name)
-	part := r.hashed(key)
+	part := r.partByHash(key)
 	if c.share(part.Service) > r.weight(part)+splitTolerance {
 		part = r.furthestBehind(c)
 	}
@@ -63,15 +65,15 @@
 func (c *splitCount) share(service string) float64 { return c.parts[service] / max(1, c.total) }
 
 func (c *splitCount) add(service string) {
-	const keep = 1 - 1.0/splitMemory
+	const decay = 1 - 1.0/splitWindow
 	for name := range c.parts {
-		c.parts[name] *= keep
+		c.parts[name] *= decay
 	}
-	c.total = c.total*keep + 1
+	c.total = c.total*decay + 1
 	c.parts[service]++
 }
 
-// weight returns a part's share of the sum of weights.
+// weight returns a part's weight as a fraction of the sum of weights.
 func (r *Route) weight(part Part) float64 {
 	sum := 0.0
 	for _, p := range r.Parts {
@@ -83,8 +85,9 @@
 	return part.Weight / sum
 }
 
-// hashed returns the part in whose range of the key space the key lies.
-func (r *Route) hashed(key string) Part {
+// partByHash returns the part whose range of the hash space contains the key's
+// hash. The ranges are proportional to the weights.
+func (r *Route) partByHash(key string) Part {
 	const space = 1 << 32
 	at := float64(xxhash.Sum64String(key)>>32) / space
 	for _, p := range r.Parts {
@@ -96,6 +99,7 @@
 	return r.Parts[len(r.Parts)-1]
 }
 
+// furthestBehind returns the part whose share is furthest below its weight.
 func (r *Route) furthestBehind(c *splitCount) Part {
 	best, least := r.Parts[0], 0.0
 	for i, p := range r.Parts {
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -11,26 +11,27 @@
 // Table finds the route of a request. It is immutable.
 type Table struct {
 	Config *Config
-	// Teams finds teams by their keys; nil: there are none, and nobody needs a key.
+	// Teams finds teams by their keys; nil: there are none, and no key is required.
 	Teams    *team.Directory
 	hosts    map[string]*host
 	services map[string]*Service
-	priority map[string]int
+	// topPriority is the highest priority of each service's routes.
+	topPriority map[string]int
 }
 
-// host has the routes of one host by prefix.
+// host has the routes of one host, by prefix.
 type host struct {
 	routes map[string]*Route
-	// longest is the length of the longest prefix.
-	longest int
+	// longestPrefix is the length of the longest prefix in bytes.
+	longestPrefix int
 }
 
-// NewTable checks a configuration and prepares it for look-ups. The cost grows
-// with the number of routes only.
+// NewTable validates a configuration and prepares it for look-ups. The cost is
+// linear in the size of the configuration.
 func NewTable(cfg *Config) (*Table, error) {
 	t := &Table{
 		Config: cfg, hosts: make(map[string]*host), services: make(map[string]*Service, len(cfg.Services)),
-		priority: make(map[string]int),
+		topPriority: make(map[string]int),
 	}
 	for _, s := range cfg.Services {
 		t.services[s.Name] = s
@@ -55,14 +56,14 @@
 		return errors.Newf("prefix %q does not begin and end with a slash", r.Prefix)
 	}
 	if len(r.Parts) == 0 {
-		return errors.New("no service")
+		return errors.New("route has no service")
 	}
 	for _, p := range r.Parts {
 		if t.services[p.Service] == nil {
-			return errors.Newf("service %q is not there", p.Service)
+			return errors.Newf("unknown service %q", p.Service)
 		}
-		if old, ok := t.priority[p.Service]; !ok || r.Priority < old {
-			t.priority[p.Service] = r.Priority
+		if old, ok := t.topPriority[p.Service]; !ok || r.Priority < old {
+			t.topPriority[p.Service] = r.Priority
 		}
 	}
 	h := t.hosts[r.Host]
@@ -71,12 +72,12 @@
 		t.hosts[r.Host] = h
 	}
 	h.routes[r.Prefix] = r
-	h.longest = max(h.longest, len(r.Prefix))
+	h.longestPrefix = max(h.longestPrefix, len(r.Prefix))
 	return nil
 }
 
-// Find returns the route with the longest prefix of the path on that host, or
-// nil. A port in the host does not count, nor does a query in the path.
+// Find returns the route of the host that has the longest prefix of the path, or
+// nil. It ignores a port in the host and a query in the path.
 func (t *Table) Find(hostPort, path string) *Route {
 	h := t.hosts[hostPort]
 	if h == nil {
@@ -88,7 +89,7 @@
 	if end := strings.IndexByte(path, '?'); end >= 0 {
 		path = path[:end]
 	}
-	for end := min(len(path), h.longest); end > 0; {
+	for end := min(len(path), h.longestPrefix); end > 0; {
 		end = strings.LastIndexByte(path[:end], '/') + 1
 		if r := h.routes[path[:end]]; r != nil {
 			return r
@@ -98,15 +99,15 @@
 	return nil
 }
 
-// Service returns the service of that name, or nil.
+// Service returns the service with the given name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
 // Services returns all services.
 func (t *Table) Services() []*Service { return t.Config.Services }
 
-// UrgentPriority returns the highest rank, the lowest number, among the routes
-// that lead to a service.
-func (t *Table) UrgentPriority(service string) int { return t.priority[service] }
+// UrgentPriority returns the highest priority, which is the lowest number, among
+// the routes to a service.
+func (t *Table) UrgentPriority(service string) int { return t.topPriority[service] }
 
-// HasHost reports whether any route is on the host.
+// HasHost reports whether the host has any route.
 func (t *Table) HasHost(name string) bool { return t.hosts[name] != nil }
