--- a/core/target/target.go
+++ b/core/target/target.go
@@ -1,10 +1,10 @@
-// Package target keeps which upstreams there are: their incarnations, and which
-// of them may be sent requests now.
+// Package target maintains the set of registered upstreams: their incarnations, and
+// which of them may be sent requests now.
 //
-// An upstream registers itself anew with each start. An incarnation is its ID and
-// the time of its start: it may start again under the ID that it had, and knows
-// nothing of before then. An address says nothing about who is behind it. What is registered is
-// read from a copy of the platform's table and can lag or lapse.
+// An upstream registers itself with each start. An incarnation is its ID and the time
+// of its start: an upstream may restart under the same ID, without any state from
+// before. An address does not identify an upstream. Registrations are read from a
+// copy of the platform's table, so they can lag and can lapse.
 //
 // # Usage
 //
@@ -20,26 +20,26 @@
 	"time"
 )
 
-// Registration is what an upstream says of itself.
+// Registration is an upstream's registration in the platform's table.
 type Registration struct {
 	ID string
-	// Born is the time of its start in Unix milliseconds; 0: it says none, and its
-	// ID is its alone.
+	// Born is the time of its start in Unix milliseconds; 0: not given, and each
+	// start has an ID of its own.
 	Born    int64
 	Service string
 	// Addr is IP:port.
 	Addr string
 	Zone string
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots    int
 	Draining bool
-	// ColdLeft is how much longer it stays cold, as of ReadAt.
+	// ColdLeft is how much longer it is cold, as of ReadAt.
 	ColdLeft time.Duration
 	ReadAt   time.Time
-	// Removed registrations have been taken off the table at RemovedAt.
+	// Removed is set if the registration was removed from the table, at RemovedAt.
 	Removed   bool
 	RemovedAt time.Time
-	// AfterGap says that the removal may be due to the platform's outage.
+	// AfterGap is set if the removal may be due to an outage of the platform.
 	AfterGap bool
 }
 
@@ -52,16 +52,16 @@
 	Zone    string
 	Region  string
 	Slots   int
-	// Draining says that the target wants nothing new by its own word.
+	// Draining is set if the target has registered that it takes no new requests.
 	Draining bool
-	// Usable targets may be sent new requests.
+	// Usable is set if the target may be sent new requests.
 	Usable bool
-	// ColdUntil is when the target is no longer cold.
+	// ColdUntil is the time from which the target is no longer cold.
 	ColdUntil time.Time
 }
 
-// Incarnation names this start of the upstream. What is known of another one, its
-// connections included, says nothing about it.
+// Incarnation returns a name for this run of the upstream. State of another
+// incarnation, including connections, does not apply to it.
 func (t *Target) Incarnation() string {
 	if t.Born == 0 {
 		return t.ID
@@ -69,48 +69,49 @@
 	return t.ID + "@" + strconv.FormatInt(t.Born, 10)
 }
 
-// Cold reports whether the target bears only few requests.
+// Cold reports whether the target can handle few requests only, as after its start.
 func (t *Target) Cold(now time.Time) bool { return now.Before(t.ColdUntil) }
 
 // LapseGrace is how long an upstream whose registration lapsed during an outage
-// of the platform goes on being used: those alive register again within about
-// two seconds. It stays below the time by which a leaving upstream must get
-// nothing new.
+// of the platform is still used: running upstreams register again within about
+// two seconds. It is shorter than the time within which a leaving upstream must
+// stop getting new requests.
 const LapseGrace = 1800 * time.Millisecond
 
-// Evacuations tells which availability zones are to get nothing.
+// Evacuations is the set of availability zones that must get no new requests.
 type Evacuations struct {
 	Zones map[string]bool
 }
 
-// Registry turns registrations into targets. The zero value is ready. It is
-// not safe for concurrent use.
+// Registry derives targets from registrations. The zero value is ready to use.
+// It is not safe for concurrent use.
 type Registry struct {
 	// Heartbeat is the interval at which upstreams renew their registration.
 	Heartbeat time.Duration
-	// Regions is the region of each availability zone.
+	// Regions has the region of each availability zone.
 	Regions map[string]string
 
 	targets   map[string]*Target // By ID.
 	lapsed    map[string]Registration
 	evacuated map[string]bool
-	coldUntil map[string]time.Time // By zone, after an evacuation.
-	names     map[string]string    // One copy of each service's and zone's name.
+	coldUntil map[string]time.Time // By zone, after its evacuation ended.
+	names     map[string]string    // Interned names of services and zones.
 }
 
-// Change is what an Update has changed.
+// Change is the difference that an Update made to the targets.
 type Change struct {
-	// Set are the targets that are new or have changed, Added those of them whose
-	// incarnation was not there before.
+	// Set are the targets that are new or have changed, Added those of them with a
+	// new incarnation.
 	Set, Added []*Target
-	// Gone are incarnations that are not there any more.
+	// Gone are the incarnations that were removed.
 	Gone []*Target
 }
 
-// Len returns how many targets there are.
+// Len returns the number of targets.
 func (r *Registry) Len() int { return len(r.targets) }
 
-// AtAddresses returns the targets that have the address of one of a list, which are left out.
+// AtAddresses returns the targets, other than those in list, that have the same address
+// as one of them.
 func (r *Registry) AtAddresses(list []*Target) []*Target {
 	if len(list) == 0 {
 		return nil
@@ -128,34 +129,35 @@
 	return others
 }
 
-// Update takes in the registrations that have changed since the last call, and reports
-// whether a target will change by time alone, so that Update has to be called again soon.
+// Update applies the registrations that have changed since the last call. soon reports
+// whether a lapsed registration is within its LapseGrace, so that Update has to be called
+// again soon.
 func (r *Registry) Update(now time.Time, changed []Registration, ev Evacuations) (c Change, soon bool) {
 	if r.targets == nil {
 		r.targets, r.lapsed, r.names = make(map[string]*Target), make(map[string]Registration), make(map[string]string)
 	}
-	r.takeEvacuations(now, ev, &c)
+	r.applyEvacuations(now, ev, &c)
 	for i := range changed {
 		delete(r.lapsed, changed[i].ID)
-		r.take(now, &changed[i], ev, &c)
+		r.apply(now, &changed[i], ev, &c)
 	}
 	for id, reg := range r.lapsed {
 		if now.Sub(reg.RemovedAt) >= LapseGrace {
 			delete(r.lapsed, id)
-			r.drop(id, &c)
+			r.remove(id, &c)
 		}
 	}
-	// One whose zone was emptied or taken back may have changed, or gone, as well.
+	// Drop targets of evacuated zones that a registration then changed or removed.
 	c.Set = slices.DeleteFunc(c.Set, func(t *Target) bool { return r.targets[t.ID] != t })
 	return c, len(r.lapsed) > 0
 }
 
-// take takes in one registration.
-func (r *Registry) take(now time.Time, reg *Registration, ev Evacuations, c *Change) {
+// apply updates the target of one registration.
+func (r *Registry) apply(now time.Time, reg *Registration, ev Evacuations, c *Change) {
 	lapsed := reg.Removed && reg.AfterGap && now.Sub(reg.RemovedAt) < LapseGrace
 	region := r.Regions[reg.Zone]
 	if reg.Removed && !lapsed || region == "" {
-		r.drop(reg.ID, c) // Gone, or at a place that is not there.
+		r.remove(reg.ID, c) // Removed, or in an unknown zone.
 		return
 	}
 	if lapsed {
@@ -180,47 +182,48 @@
 	c.Set = append(c.Set, t)
 }
 
-func (r *Registry) drop(id string, c *Change) {
+func (r *Registry) remove(id string, c *Change) {
 	if old := r.targets[id]; old != nil {
 		delete(r.targets, id)
 		c.Gone = append(c.Gone, old)
 	}
 }
 
-// name returns the one copy of a name that is kept.
+// name returns the interned copy of a name.
 func (r *Registry) name(s string) string {
-	if kept, ok := r.names[s]; ok {
-		return kept
+	if interned, ok := r.names[s]; ok {
+		return interned
 	}
 	r.names[s] = s
 	return s
 }
 
-// takeEvacuations renews the targets of zones that are emptied or taken back. Upstreams of
-// those taken back may have turned cold meanwhile, and say so only with their next heartbeat;
-// without the hold they would be sent their whole share and crash.
-func (r *Registry) takeEvacuations(now time.Time, ev Evacuations, c *Change) {
+// applyEvacuations updates the targets of zones whose evacuation begins or ends. Upstreams
+// may have restarted during the evacuation, and register as cold only with their next
+// heartbeat. Until then all targets of the zone count as cold, as otherwise they would be
+// sent their whole share at once and crash.
+func (r *Registry) applyEvacuations(now time.Time, ev Evacuations, c *Change) {
 	if r.coldUntil == nil {
 		r.coldUntil = make(map[string]time.Time)
 	}
-	turned := make(map[string]bool)
+	affected := make(map[string]bool)
 	for zone := range r.evacuated {
 		if !ev.Zones[zone] {
-			turned[zone] = true
+			affected[zone] = true
 			r.coldUntil[zone] = now.Add(r.Heartbeat + coldMargin)
 		}
 	}
 	for zone := range ev.Zones {
 		if !r.evacuated[zone] {
-			turned[zone] = true
+			affected[zone] = true
 		}
 	}
-	if len(turned) == 0 {
+	if len(affected) == 0 {
 		return
 	}
 	r.evacuated = maps.Clone(ev.Zones)
 	for id, old := range r.targets {
-		if !turned[old.Zone] {
+		if !affected[old.Zone] {
 			continue
 		}
 		t := *old
@@ -233,6 +236,6 @@
 	}
 }
 
-// coldMargin is added to the heartbeat interval for the time a registration
-// takes to be read: one interval between polls and a slow answer.
+// coldMargin is added to the heartbeat interval for the time until a registration
+// is read: one poll interval and a slow response.
 const coldMargin = 1500 * time.Millisecond
--- a/core/target/target_test.go
+++ b/core/target/target_test.go
@@ -33,7 +33,7 @@
 		reg    target.Registration
 		ev     target.Evacuations
 		at     time.Duration
-		there  bool
+		exists bool
 		usable bool
 	}{
 		{"ready", reg("a", nil), target.Evacuations{}, 0, true, true},
@@ -41,7 +41,7 @@
 		{"evacuated", reg("a", nil), evacuated, 0, true, false},
 		{"removed while the platform answers", reg("a", removed(false)), target.Evacuations{}, 0, false, false},
 		{"lapsed during an outage", reg("a", removed(true)), target.Evacuations{}, time.Second, true, true},
-		{"lapsed and not back", reg("a", removed(true)), target.Evacuations{}, 2 * time.Second, false, false},
+		{"lapsed, after LapseGrace", reg("a", removed(true)), target.Evacuations{}, 2 * time.Second, false, false},
 	} {
 		r := registry()
 		c, _ := r.Update(start, []target.Registration{tc.reg}, tc.ev)
@@ -51,31 +51,31 @@
 				list = nil
 			}
 		}
-		if got := len(list) == 1; got != tc.there {
-			t.Errorf("%s: there = %v, want %v", tc.name, got, tc.there)
+		if got := len(list) == 1; got != tc.exists {
+			t.Errorf("%s: exists = %v, want %v", tc.name, got, tc.exists)
 			continue
 		}
-		if tc.there && list[0].Usable != tc.usable {
+		if tc.exists && list[0].Usable != tc.usable {
 			t.Errorf("%s: usable = %v, want %v", tc.name, list[0].Usable, tc.usable)
 		}
 	}
 }
 
-// A zone is evacuated and taken back. Its upstreams were restarted meanwhile and
-// are cold, but their registrations say so only with the next heartbeat. Were
-// they sent their whole share at once, they would crash.
-func TestZoneTakenBackIsCold(t *testing.T) {
+// A zone is evacuated, and the evacuation ends. Its upstreams restarted meanwhile and
+// are cold, but their registrations say so only with the next heartbeat. If they
+// were sent their whole share at once, they would crash.
+func TestTargetsAreColdAfterEvacuationEnds(t *testing.T) {
 	r := registry()
 	list := []target.Registration{reg("a", nil)}
 	r.Update(start, list, target.Evacuations{Zones: map[string]bool{"z": true}})
-	back := start.Add(time.Second)
-	c, _ := r.Update(back, nil, target.Evacuations{})
+	endsAt := start.Add(time.Second)
+	c, _ := r.Update(endsAt, nil, target.Evacuations{})
 	targets := c.Set
-	if !targets[0].Usable || !targets[0].Cold(back) {
-		t.Errorf("usable %v, cold %v right after, want both", targets[0].Usable, targets[0].Cold(back))
+	if !targets[0].Usable || !targets[0].Cold(endsAt) {
+		t.Errorf("usable %v, cold %v when the evacuation ends, want both", targets[0].Usable, targets[0].Cold(endsAt))
 	}
-	if later := back.Add(4 * time.Second); targets[0].Cold(later) {
-		t.Error("still cold after two heartbeats")
+	if later := endsAt.Add(4 * time.Second); targets[0].Cold(later) {
+		t.Error("still cold 4 s after the evacuation ended")
 	}
 }
 
@@ -83,11 +83,11 @@
 	c, _ := registry().Update(start, []target.Registration{reg("a", func(r *target.Registration) { r.ColdLeft = 3 * time.Second })}, target.Evacuations{})
 	targets := c.Set
 	if !targets[0].Cold(start.Add(2*time.Second)) || targets[0].Cold(start.Add(4*time.Second)) {
-		t.Error("cold for another time than registered")
+		t.Error("cold for a time other than the registered 3 s")
 	}
 }
 
-// Guards against targets that are named without a change, or that come back after they left.
+// Guards against targets in a Change that did not change, and removed targets that reappear.
 func TestUpdateNamesWhatChanged(t *testing.T) {
 	r := registry()
 	at := func(id, addr string, change func(*target.Registration)) target.Registration {
@@ -113,16 +113,16 @@
 		set, added, gone, same string
 	}{
 		{"two register", []target.Registration{at("a", "1", nil), at("b", "2", nil)}, none, "a b", "a b", "", ""},
-		{"nothing", nil, none, "", "", "", ""},
-		{"one drains", []target.Registration{at("a", "1", func(r *target.Registration) { r.Draining = true })}, none, "a", "", "", ""},
-		{"one starts again", []target.Registration{at("b", "2", func(r *target.Registration) { r.Born = 7 })}, none, "b@7", "b@7", "b", ""},
-		{"one at the address of another", []target.Registration{at("c", "1", nil)}, none, "c", "c", "", "a"},
-		{"the zone is emptied", nil, target.Evacuations{Zones: map[string]bool{"z": true}}, "a b@7 c", "", "", ""},
-		{"and taken back", nil, none, "a b@7 c", "", "", ""},
-		{"one leaves as the zone is emptied", []target.Registration{at("b", "2", func(r *target.Registration) { r.Born, r.Removed = 7, true })}, target.Evacuations{Zones: map[string]bool{"z": true}}, "a c", "", "b@7", ""},
-		{"the other drains as it is taken back", []target.Registration{at("a", "1", func(r *target.Registration) { r.Draining = true })}, none, "a c", "", "", ""},
-		{"one leaves", []target.Registration{at("c", "1", func(r *target.Registration) { r.Removed = true })}, none, "", "", "c", ""},
-		{"one at a place that is not there", []target.Registration{at("d", "3", func(r *target.Registration) { r.Zone = "nowhere" })}, none, "", "", "", ""},
+		{"no change", nil, none, "", "", "", ""},
+		{"one is drained", []target.Registration{at("a", "1", func(r *target.Registration) { r.Draining = true })}, none, "a", "", "", ""},
+		{"one restarts", []target.Registration{at("b", "2", func(r *target.Registration) { r.Born = 7 })}, none, "b@7", "b@7", "b", ""},
+		{"a new one has the address of another", []target.Registration{at("c", "1", nil)}, none, "c", "c", "", "a"},
+		{"the evacuation begins", nil, target.Evacuations{Zones: map[string]bool{"z": true}}, "a b@7 c", "", "", ""},
+		{"the evacuation ends", nil, none, "a b@7 c", "", "", ""},
+		{"one is removed as the evacuation begins", []target.Registration{at("b", "2", func(r *target.Registration) { r.Born, r.Removed = 7, true })}, target.Evacuations{Zones: map[string]bool{"z": true}}, "a c", "", "b@7", ""},
+		{"one is drained as the evacuation ends", []target.Registration{at("a", "1", func(r *target.Registration) { r.Draining = true })}, none, "a c", "", "", ""},
+		{"one is removed", []target.Registration{at("c", "1", func(r *target.Registration) { r.Removed = true })}, none, "", "", "c", ""},
+		{"one in an unknown zone", []target.Registration{at("d", "3", func(r *target.Registration) { r.Zone = "nowhere" })}, none, "", "", "", ""},
 	} {
 		c, _ := r.Update(start, step.changed, step.ev)
 		if ids(c.Set) != step.set || ids(c.Added) != step.added || ids(c.Gone) != step.gone || ids(r.AtAddresses(c.Added)) != step.same {
@@ -131,6 +131,6 @@
 		}
 	}
 	if r.Len() != 1 {
-		t.Errorf("%d targets are left, want 1", r.Len())
+		t.Errorf("%d targets, want 1", r.Len())
 	}
 }
--- a/core/team/bearer.go
+++ b/core/team/bearer.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// scheme is the authentication scheme of RFC 6750; its case does not count.
+	// scheme is the authentication scheme of RFC 6750. It is not case-sensitive.
 	scheme = "bearer"
-	// maxKey is the longest key in bytes that is looked at.
-	maxKey = 512
-	// fingerprintBytes is how much of a key's hash tells it from others in logs.
+	// maxKeyBytes is the length of the longest key that is accepted.
+	maxKeyBytes = 512
+	// fingerprintBytes is the number of bytes of a key's hash that are logged.
 	fingerprintBytes = 4
 )
 
 // Errors of Bearer.
 var (
 	ErrNoKey  = errors.New("no key")
-	ErrNotKey = errors.New("not one key of the Bearer scheme")
+	ErrNotKey = errors.New("credentials are not a single key of the Bearer scheme")
 )
 
-// Bearer returns the key of a request by the values of its Authorization fields, as
-// RFC 6750 (2.1) has it: one field, the scheme in any case, spaces, and a token. Two
-// fields are refused, also of the same key: what is behind another reader of the
-// request may go by the other one.
+// Bearer returns the key of a request, given the values of its Authorization fields,
+// according to RFC 6750, section 2.1: one field with the scheme in any case, spaces, and
+// a token. Two fields are refused even if they have the same key, as another component
+// that parses the request may use the other field.
 func Bearer(fields []string) (string, error) {
 	if len(fields) == 0 {
 		return "", ErrNoKey
@@ -39,13 +39,13 @@
 		return "", ErrNotKey
 	}
 	key := strings.TrimLeft(rest, " ")
-	if len(key) > maxKey || !isToken(key) {
+	if len(key) > maxKeyBytes || !isToken(key) {
 		return "", ErrNotKey
 	}
 	return key, nil
 }
 
-// isToken reports whether a text is a b64token of RFC 6750.
+// isToken reports whether s is a b64token of RFC 6750.
 func isToken(s string) bool {
 	body := strings.TrimRight(s, "=")
 	if body == "" {
@@ -68,8 +68,8 @@
 	}
 }
 
-// Fingerprint tells a key from others where the key itself must not stand, in logs. Two of
-// the same team seldom share one; among 100,000 keys some do.
+// Fingerprint identifies a key in logs, which must not contain the key itself. Two keys of
+// the same team rarely have the same fingerprint; among 100,000 keys some do.
 func Fingerprint(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:fingerprintBytes])
--- a/core/team/directory.go
+++ b/core/team/directory.go
@@ -6,31 +6,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Directory finds teams. It is immutable. The nil Directory has no teams.
+// Directory finds teams by their keys. It is immutable. The nil Directory has no teams.
 type Directory struct {
 	byKey map[string]*Team
 	list  []*Team
 }
 
-// NewDirectory checks teams and prepares them for look-ups. Errors name the team and
-// never a key.
+// NewDirectory validates teams and prepares them for look-ups. Errors contain the name of
+// the team but no key.
 func NewDirectory(teams []*Team) (*Directory, error) {
 	d := &Directory{byKey: make(map[string]*Team, len(teams)), list: teams}
 	names := make(map[string]bool, len(teams))
 	for _, t := range teams {
 		switch {
 		case t.Name == "":
-			return nil, errors.New("a team without a name")
+			return nil, errors.New("team without a name")
 		case names[t.Name]:
-			return nil, errors.Newf("team %q stands twice", t.Name)
-		case !finite(t.RatePerSecond) || !finite(t.Burst):
-			return nil, errors.Newf("team %q: a limit below 0, or none", t.Name)
+			return nil, errors.Newf("duplicate team %q", t.Name)
+		case !validLimit(t.RatePerSecond) || !validLimit(t.Burst):
+			return nil, errors.Newf("team %q: limit is negative or not finite", t.Name)
 		}
 		names[t.Name] = true
 		for _, key := range t.Keys {
 			other := d.byKey[key]
 			if other != nil && other != t {
-				return nil, errors.Newf("teams %q and %q hold the same key", other.Name, t.Name)
+				return nil, errors.Newf("teams %q and %q have the same key", other.Name, t.Name)
 			}
 			d.byKey[key] = t
 		}
@@ -38,9 +38,9 @@
 	return d, nil
 }
 
-func finite(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
+func validLimit(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
 
-// ByKey returns the team that holds a key, nil where none does.
+// ByKey returns the team that has a key, or nil if there is none.
 func (d *Directory) ByKey(key string) *Team {
 	if d == nil || key == "" {
 		return nil
--- a/core/team/doc.go
+++ b/core/team/doc.go
@@ -1,15 +1,15 @@
-// Package team knows the operators' customers: which keys name which team, what
-// a team may ask for, and where it may be served.
+// Package team holds the operators' customers, called teams: the keys that identify
+// a team, its request limit, and the regions that may serve it.
 //
 // A Directory is part of one accepted configuration, is immutable, and is shared
-// by all requests. A key is a secret: nothing but the comparison needs it, and what
-// tells one key from another in logs is its Fingerprint.
+// by all requests. Keys are secrets: they are used for look-ups only, and are
+// logged as their Fingerprint.
 //
 // # Usage
 //
-//	dir, err := team.NewDirectory(cfg.Teams)   // nil without teams: no keys are asked for
+//	dir, err := team.NewDirectory(cfg.Teams)   // nil without teams: no key is required
 //	key, err := team.Bearer(r.Header.Values("Authorization"))
-//	t := dir.ByKey(key)                        // nil: nobody holds the key
+//	t := dir.ByKey(key)                        // nil: no team has this key
 package team
 
 import "slices"
@@ -17,20 +17,20 @@
 // Team is a customer of the operators.
 type Team struct {
 	Name string
-	// Keys are those that its callers may use now.
+	// Keys are the keys that its callers may use at present.
 	Keys []string
-	// Priority goes before that of the route, 0 being the highest; nil: the
-	// route's counts.
+	// Priority overrides that of the route, 0 being the highest; nil: the route's
+	// priority applies.
 	Priority *int
-	// RatePerSecond and Burst bound what the team may ask for, over all VMs
-	// together. A RatePerSecond of 0 says that nothing does.
+	// RatePerSecond and Burst limit the team's requests, over all VMs together. If
+	// RatePerSecond is 0, there is no limit.
 	RatePerSecond, Burst float64
 	// Homes are the regions that may serve the team; none: all may.
 	Homes []string
 }
 
-// Home reports whether a region may serve the team. The nil Team is that of a
-// request without a key, which any region may serve.
+// Home reports whether a region may serve the team. The nil Team is that of
+// requests without a key, which any region may serve.
 func (t *Team) Home(region string) bool {
 	return t == nil || len(t.Homes) == 0 || slices.Contains(t.Homes, region)
 }
@@ -38,7 +38,8 @@
 // Limited reports whether the team has a limit.
 func (t *Team) Limited() bool { return t != nil && t.RatePerSecond > 0 }
 
-// Rank returns the priority of the team's requests on a route that has its own.
+// Rank returns the priority of the team's requests on a route, given the route's
+// own priority.
 func (t *Team) Rank(route int) int {
 	if t == nil || t.Priority == nil {
 		return route
--- a/core/team/team_test.go
+++ b/core/team/team_test.go
@@ -17,22 +17,22 @@
 		key    string
 		err    error
 	}{
-		{"a key", []string{"Bearer abc"}, "abc", nil},
-		{"the scheme in another case", []string{"bEARER abc"}, "abc", nil},
+		{"one key", []string{"Bearer abc"}, "abc", nil},
+		{"scheme in another case", []string{"bEARER abc"}, "abc", nil},
 		{"several spaces", []string{"Bearer   abc"}, "abc", nil},
 		{"spaces around", []string{"  Bearer abc "}, "abc", nil},
-		{"all that a token may have", []string{"Bearer aZ09-._~+/=="}, "aZ09-._~+/==", nil},
+		{"all characters of a token", []string{"Bearer aZ09-._~+/=="}, "aZ09-._~+/==", nil},
 		{"no field", nil, "", team.ErrNoKey},
-		{"an empty field", []string{""}, "", team.ErrNotKey},
-		{"the scheme only", []string{"Bearer"}, "", team.ErrNotKey},
-		{"the scheme and a space", []string{"Bearer "}, "", team.ErrNotKey},
+		{"empty field", []string{""}, "", team.ErrNotKey},
+		{"scheme only", []string{"Bearer"}, "", team.ErrNotKey},
+		{"scheme and a space", []string{"Bearer "}, "", team.ErrNotKey},
 		{"another scheme", []string{"Basic abc"}, "", team.ErrNotKey},
-		{"a tab in place of the space", []string{"Bearer\tabc"}, "", team.ErrNotKey},
+		{"tab instead of the space", []string{"Bearer\tabc"}, "", team.ErrNotKey},
 		{"two tokens", []string{"Bearer abc def"}, "", team.ErrNotKey},
-		{"two in a list", []string{"Bearer abc, Bearer def"}, "", team.ErrNotKey},
-		{"a parameter", []string{`Bearer realm="x"`}, "", team.ErrNotKey},
+		{"comma-separated list", []string{"Bearer abc, Bearer def"}, "", team.ErrNotKey},
+		{"parameter", []string{`Bearer realm="x"`}, "", team.ErrNotKey},
 		{"equal signs only", []string{"Bearer =="}, "", team.ErrNotKey},
-		{"an equal sign within", []string{"Bearer a=b"}, "", team.ErrNotKey},
+		{"equal sign inside", []string{"Bearer a=b"}, "", team.ErrNotKey},
 		{"not ASCII", []string{"Bearer ключ"}, "", team.ErrNotKey},
 		{"two fields", []string{"Bearer abc", "Bearer def"}, "", team.ErrNotKey},
 		{"the same field twice", []string{"Bearer abc", "Bearer abc"}, "", team.ErrNotKey},
@@ -58,7 +58,7 @@
 			t.Errorf("%q: key %q", field, key)
 		}
 		if err != nil && key == "" && len(field) > 3 && strings.Contains(err.Error(), field) {
-			t.Errorf("the error tells the key: %v", err)
+			t.Errorf("the error contains the key: %v", err)
 		}
 	})
 }
@@ -70,11 +70,11 @@
 		want  string
 	}{
 		{"no name", []*team.Team{{}}, "without a name"},
-		{"twice", []*team.Team{{Name: "a"}, {Name: "a"}}, `"a" stands twice`},
-		{"a rate below 0", []*team.Team{{Name: "a", RatePerSecond: -1}}, `"a": a limit`},
-		{"no number", []*team.Team{{Name: "a", Burst: math.NaN()}}, `"a": a limit`},
-		{"no end", []*team.Team{{Name: "a", RatePerSecond: math.Inf(1)}}, `"a": a limit`},
-		{"one key for two", []*team.Team{{Name: "a", Keys: []string{"secret"}}, {Name: "b", Keys: []string{"secret"}}}, `"a" and "b" hold the same key`},
+		{"duplicate", []*team.Team{{Name: "a"}, {Name: "a"}}, `duplicate team "a"`},
+		{"negative rate", []*team.Team{{Name: "a", RatePerSecond: -1}}, `"a": limit is negative or not finite`},
+		{"not a number", []*team.Team{{Name: "a", Burst: math.NaN()}}, `"a": limit is negative or not finite`},
+		{"infinite rate", []*team.Team{{Name: "a", RatePerSecond: math.Inf(1)}}, `"a": limit is negative or not finite`},
+		{"same key in two teams", []*team.Team{{Name: "a", Keys: []string{"secret"}}, {Name: "b", Keys: []string{"secret"}}}, `"a" and "b" have the same key`},
 	} {
 		_, err := team.NewDirectory(tc.teams)
 		if err == nil || !strings.Contains(err.Error(), tc.want) || strings.Contains(err.Error(), "secret") {
@@ -86,16 +86,16 @@
 func TestTeamOfARequestWithoutAKey(t *testing.T) {
 	var none *team.Team
 	if !none.Home("r") || none.Limited() || none.Rank(3) != 3 {
-		t.Error("a request without a key is bound by a team")
+		t.Error("a request without a key has a region, limit or priority of a team")
 	}
 	var dir *team.Directory
 	if dir.ByKey("k") != nil || dir.Teams() != nil {
-		t.Error("no directory has a team")
+		t.Error("the nil directory has a team")
 	}
-	rank := 0
-	tm := &team.Team{Homes: []string{"a"}, Priority: &rank}
+	priority := 0
+	tm := &team.Team{Homes: []string{"a"}, Priority: &priority}
 	if tm.Home("b") || !tm.Home("a") || tm.Rank(3) != 0 {
-		t.Error("homes or rank of a team do not count")
+		t.Error("the homes or the priority of a team are ignored")
 	}
 }
 
@@ -105,7 +105,7 @@
 	}
 }
 
-// BenchmarkByKey is a decision on a key among 10,000 teams with 100,000 keys.
+// BenchmarkByKey looks up a key among 10,000 teams with 100,000 keys.
 func BenchmarkByKey(b *testing.B) {
 	var teams []*team.Team
 	for i := range 10_000 {
--- a/core/verdict/verdict.go
+++ b/core/verdict/verdict.go
@@ -1,18 +1,17 @@
-// Package verdict says what a refusal or a failure proves about a request:
-// that it did not run, that it ran, or that nobody can tell.
+// Package verdict defines what a refusal or a failure proves about a request:
+// that it did not run, that it ran, or that neither is known.
 //
 // # Usage
 //
-// Code that gives up on a request returns an *Error. The code that receives it
-// decides by the verdict alone whether the request may be sent again:
+// Code that fails a request returns an *Error. The code that receives it decides by
+// the verdict alone whether the request may be sent again:
 //
 //	err := upstream.Send(req)
 //	if verdict.Of(err) == verdict.NotRun {
-//		// Safe to try elsewhere, whatever the method.
+//		// Safe to retry elsewhere, for any method.
 //	}
 //
-// An error that carries no verdict counts as MaybeRan: a missing proof is never
-// taken for a proof.
+// An error without a verdict counts as MaybeRan, since it proves nothing.
 package verdict
 
 import (
@@ -23,20 +22,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Verdict is what is known about a request that brought no whole answer.
+// Verdict is what is known about a request without a complete response.
 type Verdict int
 
 const (
-	// MaybeRan: the request may have run, wholly, in part or not at all.
-	// It is the zero value, since it promises nothing.
+	// MaybeRan: the request may have run completely, in part or not at all.
+	// It is the zero value, since it claims nothing.
 	MaybeRan Verdict = iota
 	// NotRun: the request did not run and never will.
 	NotRun
-	// Ran: the request ran, though its answer may be lost.
+	// Ran: the request ran, but its response may be lost.
 	Ran
 )
 
-// String returns the verdict's name as it stands in headers and logs.
+// String returns the verdict's name as used in headers and logs.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
@@ -48,7 +47,7 @@
 	}
 }
 
-// Parse returns the verdict named by s, and MaybeRan where s names none.
+// Parse returns the verdict with the name s, or MaybeRan if there is none.
 func Parse(s string) Verdict {
 	switch s {
 	case "NotRun":
@@ -60,7 +59,7 @@
 	}
 }
 
-// Reason is a stable, documented word for why a request was refused.
+// Reason is a stable, documented code for why a request failed.
 type Reason string
 
 // The reasons. docs/operators/refusals.md explains each one.
@@ -91,13 +90,13 @@
 	ReasonWithheld      Reason = "Withheld"
 )
 
-// Error is a request given up on.
+// Error is the failure of a request.
 type Error struct {
 	Verdict Verdict
 	Reason  Reason
-	// RetryAfter is when the caller may come back; 0 says not to.
+	// RetryAfter is the time after which the caller may retry; 0: it should not retry.
 	RetryAfter time.Duration
-	// Err is the cause, for the log. It may be nil.
+	// Err is the cause, for logs. It may be nil.
 	Err error
 }
 
@@ -122,11 +121,11 @@
 	return &Error{Verdict: v, Reason: reason, RetryAfter: retryAfter, Err: err}
 }
 
-// Of returns the verdict that err carries. An error without one is MaybeRan.
+// Of returns the verdict of err. An error without one is MaybeRan.
 func Of(err error) Verdict { return As(err).Verdict }
 
-// GaveUp returns why a request failed under a context: its time was over, its caller
-// left, or, where the context goes on (nil), something else.
+// GaveUp returns the reason for the failure of a request, given its context's error: the
+// deadline passed, the caller canceled, or, if ctxErr is nil, other.
 func GaveUp(ctxErr error, other Reason) Reason {
 	switch {
 	case errors.Is(ctxErr, context.DeadlineExceeded):
@@ -138,7 +137,8 @@
 	}
 }
 
-// As returns err's *Error, or a MaybeRan one around err where it has none.
+// As returns the *Error in err's chain, or one with verdict MaybeRan that wraps err if there
+// is none.
 func As(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/core/verdict/verdict_test.go
+++ b/core/verdict/verdict_test.go
@@ -15,9 +15,9 @@
 		err  error
 		want Verdict
 	}{
-		{"plain errors prove nothing", io.ErrUnexpectedEOF, MaybeRan},
-		{"a verdict is found", refused, NotRun},
-		{"a verdict is found below a wrapper", errors.Wrap(refused, "forward"), NotRun},
+		{"error without a verdict", io.ErrUnexpectedEOF, MaybeRan},
+		{"error with a verdict", refused, NotRun},
+		{"wrapped error with a verdict", errors.Wrap(refused, "forward"), NotRun},
 		{"ran", Wrap(io.EOF, Ran, ReasonBroken, 0), Ran},
 	} {
 		if got := Of(tc.err); got != tc.want {
@@ -33,6 +33,6 @@
 		}
 	}
 	if got := Parse("notrun"); got != MaybeRan {
-		t.Errorf("Parse of an unknown word = %v, want MaybeRan", got)
+		t.Errorf("Parse of an unknown name = %v, want MaybeRan", got)
 	}
 }
