--- a/core/member/exchange.go
+++ b/core/member/exchange.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// has reports whether an entry belongs into an exchange.
-func (t *Table) has(scope Scope, e *Entry) bool {
+// inScope reports whether an exchange covers an entry.
+func (t *Table) inScope(scope Scope, e *Entry) bool {
 	switch {
-	case !e.zonal():
+	case !e.aboutVM():
 		return scope.Global
-	case !t.reports || e.VM == nil || e.VM.Zone == t.zone:
+	case !t.useReports || e.VM == nil || e.VM.Zone == t.zone:
 		return scope.Zone == t.zone || slices.Contains(scope.Zones, t.zone)
 	}
 	return slices.Contains(scope.Zones, e.VM.Zone)
 }
 
-// Digest lists the stamps of all entries that belong into an exchange.
+// Digest returns the stamps of all entries in scope.
 func (t *Table) Digest(now time.Time, scope Scope) []Stamp {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	stamps := make([]Stamp, 0, len(t.entries))
 	for _, r := range t.entries {
-		if t.has(scope, &r.Entry) {
-			stamps = append(stamps, r.aged(now).Stamp)
+		if t.inScope(scope, &r.Entry) {
+			stamps = append(stamps, r.withAge(now).Stamp)
 		}
 	}
 	return stamps
 }
 
-// Answer takes in the beats of a digest and returns what the digest lacks.
+// Answer applies the beats of a digest and returns what the digest lacks.
 func (t *Table) Answer(now time.Time, scope Scope, digest []Stamp) Delta {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -42,42 +42,42 @@
 			d.Want = append(d.Want, s.Key)
 		}
 	}
-	t.hear(now, digest)
+	t.applyBeats(now, digest)
 	for key, r := range t.entries {
-		if !t.has(scope, &r.Entry) {
+		if !t.inScope(scope, &r.Entry) {
 			continue
 		}
 		old, ok := theirs[key]
 		switch {
 		case !ok || r.Stamp.newer(old):
-			d.Entries = append(d.Entries, r.aged(now))
-		case r.Stamp.livelier(old):
-			d.Beats = append(d.Beats, r.aged(now).Stamp)
+			d.Entries = append(d.Entries, r.withAge(now))
+		case r.Stamp.laterBeat(old):
+			d.Beats = append(d.Beats, r.withAge(now).Stamp)
 		}
 	}
 	return d
 }
 
-// Take takes in the answer to a digest.
+// Take merges the entries and applies the beats of a response to a digest.
 func (t *Table) Take(now time.Time, d Delta) {
 	t.Merge(now, d.Entries)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.hear(now, d.Beats)
+	t.applyBeats(now, d.Beats)
 }
 
-// hear takes in beats. A beat tells only that the writer was alive so long ago;
-// what it holds is told by the content alone.
-func (t *Table) hear(now time.Time, stamps []Stamp) {
+// applyBeats updates the beats and last-seen times of known entries. A beat only shows
+// that the writer was alive Age ago; what it holds is in the content alone.
+func (t *Table) applyBeats(now time.Time, stamps []Stamp) {
 	for _, s := range stamps {
 		r := t.entries[s.Key]
-		if r == nil || !s.livelier(r.Stamp) || s.Key == vmKey(t.self) {
+		if r == nil || !s.laterBeat(r.Stamp) || s.Key == vmKey(t.self) {
 			continue
 		}
 		r.Stamp.Beat = s.Beat
-		r.heard = latest(r.heard, now.Add(-s.Age))
+		r.lastSeen = latest(r.lastSeen, now.Add(-s.Age))
 		if r.Report != nil {
-			t.takeReport(now, r)
+			t.applyReport(now, r)
 		}
 	}
 }
@@ -96,64 +96,64 @@
 	return a
 }
 
-// Get returns the entries under the given keys, as far as they belong into an
-// exchange.
+// Get returns the entries with the given keys that are in scope.
 func (t *Table) Get(now time.Time, scope Scope, keys []Key) []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var entries []Entry
 	for _, key := range keys {
-		if r := t.entries[key]; r != nil && t.has(scope, &r.Entry) {
-			entries = append(entries, r.aged(now))
+		if r := t.entries[key]; r != nil && t.inScope(scope, &r.Entry) {
+			entries = append(entries, r.withAge(now))
 		}
 	}
 	return entries
 }
 
-// Merge takes in entries from others and reports how many were new.
+// Merge merges entries received from peers and returns how many were newer than
+// those in the table.
 func (t *Table) Merge(now time.Time, entries []Entry) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
 	for _, e := range entries {
-		if t.mergeOne(now, e) {
+		if t.mergeEntry(now, e) {
 			n++
 		}
 	}
 	return n
 }
 
-func (t *Table) mergeOne(now time.Time, e Entry) bool {
-	if !e.zonal() && e.Roster == nil && e.Load == nil && e.Report == nil {
+func (t *Table) mergeEntry(now time.Time, e Entry) bool {
+	if !e.aboutVM() && e.Roster == nil && e.Load == nil && e.Report == nil {
 		return false
 	}
 	if e.Stamp.Key == vmKey(t.self) || e.Stamp.Key == usageKey(t.self) || e.Stamp.Key == reportKey(t.zone, t.self) {
 		return false
 	}
-	if e.VM != nil && e.VM.Zone != t.zone && !t.reports {
+	if e.VM != nil && e.VM.Zone != t.zone && !t.useReports {
 		return false
 	}
-	if e.Report != nil && t.isStale(e.Stamp.Age) {
+	if e.Report != nil && t.reportExpired(e.Stamp.Age) {
 		return false
 	}
-	heard := now.Add(-e.Stamp.Age)
+	lastSeen := now.Add(-e.Stamp.Age)
 	r := t.entries[e.Stamp.Key]
-	if r == nil && e.zonal() && e.Stamp.Age > MaxListLag {
-		return false // Purged here already.
+	if r == nil && e.aboutVM() && e.Stamp.Age > MaxListLag {
+		return false // Already purged from this table.
 	}
 	if r != nil {
 		if !e.Stamp.newer(r.Stamp) {
 			return false
 		}
-		if r.Stamp.livelier(e.Stamp) {
+		if r.Stamp.laterBeat(e.Stamp) {
 			e.Stamp.Beat = r.Stamp.Beat
 		}
-		heard = latest(heard, r.heard)
+		lastSeen = latest(lastSeen, r.lastSeen)
 	}
-	r = &record{Entry: e, heard: heard}
+	r = &record{Entry: e, lastSeen: lastSeen}
 	t.put(r)
 	if r.Report != nil {
-		t.takeReport(now, r)
+		t.applyReport(now, r)
 	}
 	return true
 }
--- a/core/member/join.go
+++ b/core/member/join.go
@@ -7,17 +7,16 @@
 	"time"
 )
 
-// SetListed takes in the platform's list of VMs, as read at the given time.
-// The list lags, so it never makes a VM Live; it only says which silent ones
-// were taken away.
+// SetListed sets the platform's list of VMs, as read at the given time. The list
+// lags, so it never makes a VM Live; it only shows which silent VMs were removed.
 func (t *Table) SetListed(now time.Time, list []Listed) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.listAt = now
-	t.listHas = make(map[string]Listed, len(list))
+	t.listReadAt = now
+	t.platformList = make(map[string]Listed, len(list))
 	for _, l := range list {
-		t.listHas[l.Name] = l
-		t.listed[l.Name] = true
+		t.platformList[l.Name] = l
+		t.everListed[l.Name] = true
 	}
 }
 
@@ -25,62 +24,64 @@
 func (t *Table) PlatformList() []Listed {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slices.SortedFunc(maps.Values(t.listHas), func(a, b Listed) int { return strings.Compare(a.Name, b.Name) })
+	return slices.SortedFunc(maps.Values(t.platformList), func(a, b Listed) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// IsListed reports whether the platform's list, as last read, has this VM.
+// IsListed reports whether the platform's list, as last read, contains this VM.
 func (t *Table) IsListed() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_, ok := t.listHas[t.self]
+	_, ok := t.platformList[t.self]
 	return ok
 }
 
-// JoinHold is how long a VM listens before it takes slots.
+// JoinHold is how long a VM that starts or wakes listens before it takes slots.
 type JoinHold struct {
-	// Listed holds for a VM that the platform's list has: the list then has
-	// the mates that were there before.
+	// Listed applies to a VM that is on the platform's list: the list then also
+	// contains the peers that were there before it.
 	Listed time.Duration
-	// Unlisted holds for one the list does not have yet, or cannot be read.
-	// It covers the time in which rosters come round by way of other zones.
+	// Unlisted applies to a VM that is not on the list yet or cannot read it.
+	// It covers the time that rosters take to propagate through other zones.
 	Unlisted time.Duration
 }
 
-// Fresh reports whether the VM knows its zone well enough to take slots: since
-// it started or woke from a pause it has listened for the hold, and has heard
-// from every mate that may hold any, those included that the platform's list or
-// a roster names. Without this a VM that wakes after others were given its
-// slots would use them too, and two that start together would each take all.
+// Fresh reports whether the VM is in sync with its zone and may take slots: since
+// it started or woke from a pause it has listened for the hold, and has received
+// heartbeats from every peer that may hold slots, including those that only the
+// platform's list or a roster names. Without this, a VM that wakes after its slots
+// were given to others would use them too, and two that start together would each
+// take all.
 func (t *Table) Fresh(now time.Time, hold JoinHold) bool {
-	mates := t.Mates(now)
+	peers := t.Mates(now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	wait, rosters := hold.Unlisted, true
-	if _, ok := t.listHas[t.self]; ok {
+	if _, ok := t.platformList[t.self]; ok {
 		wait, rosters = hold.Listed, false
 	}
-	if now.Sub(t.resumed) < wait || len(t.strangers(rosters)) > 0 {
+	if now.Sub(t.resumedAt) < wait || len(t.unseenPeers(rosters)) > 0 {
 		return false
 	}
-	for _, m := range mates {
-		if m.State != Gone && m.Heard.Before(t.resumed) {
+	for _, m := range peers {
+		if m.State != Gone && m.Heard.Before(t.resumedAt) {
 			return false
 		}
 	}
 	return true
 }
 
-// Strangers returns VMs of the zone that the platform's list or a roster names
-// and that were never heard of otherwise, sorted by name.
+// Strangers returns the VMs of the zone that the platform's list or a roster names
+// but that have no entry in the table, sorted by name.
 func (t *Table) Strangers() []Listed {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.strangers(true)
+	return t.unseenPeers(true)
 }
 
-func (t *Table) strangers(rosters bool) []Listed {
+// unseenPeers is Strangers under the lock. rosters says whether rosters count.
+func (t *Table) unseenPeers(rosters bool) []Listed {
 	named := make(map[string]Listed)
-	for _, l := range t.listHas {
+	for _, l := range t.platformList {
 		if l.Zone == t.zone && !l.Leaving {
 			named[l.Name] = l
 		}
@@ -90,7 +91,7 @@
 			continue
 		}
 		for _, vm := range r.Roster.VMs {
-			if !vm.Leaving && !t.removed(vm.Name) {
+			if !vm.Leaving && !t.delisted(vm.Name) {
 				named[vm.Name] = Listed{Name: vm.Name, Zone: t.zone, Peer: vm.Peer}
 			}
 		}
@@ -101,8 +102,9 @@
 	return slices.SortedFunc(maps.Values(named), func(a, b Listed) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// removed reports whether the platform has taken a VM off its list.
-func (t *Table) removed(name string) bool {
-	_, has := t.listHas[name]
-	return t.listed[name] && !has
+// delisted reports whether a VM was on the platform's list once and is not on the
+// last one.
+func (t *Table) delisted(name string) bool {
+	_, has := t.platformList[name]
+	return t.everListed[name] && !has
 }
--- a/core/member/life.go
+++ b/core/member/life.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Mates returns all VMs of the zone but self, sorted by name.
+// Mates returns all VMs of the table but self, sorted by name.
 func (t *Table) Mates(now time.Time) []Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -15,13 +15,13 @@
 	list := make([]Status, 0, len(t.vms))
 	for _, r := range t.vms {
 		if r.VM.Name != t.self {
-			list = append(list, Status{VM: r.VM, State: t.state(now, r), Stamp: r.Stamp, Heard: r.heard})
+			list = append(list, Status{VM: r.VM, State: t.state(now, r), Stamp: r.Stamp, Heard: r.lastSeen})
 		}
 	}
 	return list
 }
 
-// Mate returns one VM of the zone.
+// Mate returns the VM of the table with the given name, unless that is self.
 func (t *Table) Mate(now time.Time, name string) (Status, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -29,46 +29,47 @@
 	if r == nil || name == t.self {
 		return Status{}, false
 	}
-	return Status{VM: r.VM, State: t.state(now, r), Stamp: r.Stamp, Heard: r.heard}, true
+	return Status{VM: r.VM, State: t.state(now, r), Stamp: r.Stamp, Heard: r.lastSeen}, true
 }
 
-// takenAway reports whether a silent VM is gone by the platform's word, as read
-// by this VM or by another. It is permanent for an incarnation.
-func (t *Table) takenAway(now time.Time, r *record) bool {
-	if now.Sub(r.heard) <= t.failAfter {
+// removedByPlatform reports whether a silent VM has been removed according to the
+// platform's list, as read by this VM or by a peer. A removal is permanent for an
+// incarnation.
+func (t *Table) removedByPlatform(now time.Time, r *record) bool {
+	if now.Sub(r.lastSeen) <= t.failAfter {
 		return false
 	}
-	if t.accused(r) {
+	if t.reportedGone(r) {
 		return true
 	}
-	if _, has := t.listHas[r.VM.Name]; has {
+	if _, has := t.platformList[r.VM.Name]; has {
 		return false
 	}
-	sinceHeard := t.listAt.Sub(r.heard)
-	return sinceHeard > MaxListLag || t.listed[r.VM.Name] && sinceHeard > t.failAfter
+	unseen := t.listReadAt.Sub(r.lastSeen)
+	return unseen > MaxListLag || t.everListed[r.VM.Name] && unseen > t.failAfter
 }
 
-// accused reports whether a VM tells that a silent one was taken away. Few ever do: looking
-// through all for each that is silent takes their number squared, a millisecond with half
-// of 300 lost, each time that anybody asks who is there.
-func (t *Table) accused(r *record) bool {
-	if t.accusers == 0 {
+// reportedGone reports whether any VM reports that a silent one was removed. Few VMs ever
+// do, hence the check of goneReporters: scanning all VMs for each silent one is quadratic
+// and took a millisecond per call of Mates with half of 300 VMs silent.
+func (t *Table) reportedGone(r *record) bool {
+	if t.goneReporters == 0 {
 		return false
 	}
 	return slices.ContainsFunc(t.vms, func(other *record) bool { return other.VM.Gone[r.VM.Name] == r.Stamp.Incarnation })
 }
 
-// state judges a VM. A silent one counts as Gone only on the platform's word:
-// that it was on the list once and, on a list read since it was last heard, is
-// no more; or that it is still not on the list MaxListLag after it was last
-// heard, as with a VM that died before it was ever listed. Silence alone proves
-// nothing, since a VM that is paused or cut off from its mates may still have
-// requests running.
+// state returns the state of a VM. A silent one counts as Gone only according to the
+// platform's list: it was on the list once and is missing from a list read more than
+// failAfter after it was last seen; or it is missing from a list read more than
+// MaxListLag after it was last seen, as is a VM that died before it was ever listed.
+// Silence alone proves nothing, since a VM that is paused or partitioned from its peers
+// may still have requests in flight.
 func (t *Table) state(now time.Time, r *record) State {
-	if r.VM.Leaving && len(r.VM.Held) == 0 || t.takenAway(now, r) {
+	if r.VM.Leaving && len(r.VM.Held) == 0 || t.removedByPlatform(now, r) {
 		return Gone
 	}
-	silent := now.Sub(r.heard) > t.failAfter
+	silent := now.Sub(r.lastSeen) > t.failAfter
 	switch {
 	case silent:
 		return Silent
@@ -79,40 +80,41 @@
 	}
 }
 
-// purge drops what is of no use any more: VMs that have been gone for long, and
-// summaries of a zone whose publisher was followed by another.
+// purge evicts VMs that have been gone for longer than MaxListLag, expired reports,
+// and the rosters and loads of a zone that an earlier publisher left behind.
 func (t *Table) purge(now time.Time) {
 	newest := make(map[string]time.Time)
 	for _, r := range t.entries {
-		if kind := r.kind(); kind != "" && r.heard.After(newest[kind]) {
-			newest[kind] = r.heard
+		if summary := r.summaryName(); summary != "" && r.lastSeen.After(newest[summary]) {
+			newest[summary] = r.lastSeen
 		}
 	}
 	for key, r := range t.entries {
-		if t.outlived(now, key, r, newest) {
+		if t.expired(now, key, r, newest) {
 			t.drop(key)
 		}
 	}
 }
 
-// outlived reports whether a record is of no use any more. newest is when each summary's
-// latest was heard.
-func (t *Table) outlived(now time.Time, key Key, r *record, newest map[string]time.Time) bool {
+// expired reports whether a record can be evicted. newest is when the latest publisher
+// of each roster and load was last seen.
+func (t *Table) expired(now time.Time, key Key, r *record, newest map[string]time.Time) bool {
 	switch {
 	case r.Report != nil:
-		return t.isStale(now.Sub(r.heard))
-	case now.Sub(r.heard) <= MaxListLag || key == vmKey(t.self):
+		return t.reportExpired(now.Sub(r.lastSeen))
+	case now.Sub(r.lastSeen) <= MaxListLag || key == vmKey(t.self):
 		return false
 	case r.VM != nil:
 		return t.state(now, r) == Gone
 	case r.Usage != nil:
 		return t.entries[vmKey(r.Usage.VM)] == nil
 	}
-	return newest[r.kind()].After(r.heard)
+	return newest[r.summaryName()].After(r.lastSeen)
 }
 
-// kind names what a summary is about, "" for a VM's own entries.
-func (r *record) kind() string {
+// summaryName returns the name of a roster or load without its publisher, "" for entries
+// of other kinds.
+func (r *record) summaryName() string {
 	switch {
 	case r.Roster != nil:
 		return "roster/" + r.Roster.Zone
@@ -123,26 +125,26 @@
 	}
 }
 
-// Live returns the names of the zone's live VMs, self included unless it is
+// Live returns the names of the table's live VMs, self included unless it is
 // leaving, sorted.
 func (t *Table) Live(now time.Time) []string {
-	return t.names(now, func(vm *VM) bool { return true }, true)
+	return t.liveNames(now, func(vm *VM) bool { return true }, true)
 }
 
-// Dispatching returns the names of the zone's live VMs that may be given slots,
-// sorted; self says whether this VM is one. A VM that has just started is none
-// until it knows its zone: were it given a share before, the others would give
+// Dispatching returns the names of the table's live VMs that may be given slots,
+// sorted; self says whether this VM is one. A VM that has just started may not until
+// it is in sync with its zone: if it were given a share earlier, its peers would give
 // up slots that it does not take yet.
 func (t *Table) Dispatching(now time.Time, self bool) []string {
-	return t.names(now, func(vm *VM) bool { return vm.Dispatches }, self)
+	return t.liveNames(now, func(vm *VM) bool { return vm.Dispatches }, self)
 }
 
-func (t *Table) names(now time.Time, has func(*VM) bool, self bool) []string {
+func (t *Table) liveNames(now time.Time, include func(*VM) bool, self bool) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	names := make([]string, 0, len(t.vms)+1)
 	for _, r := range t.vms {
-		if r.VM.Name != t.self && t.state(now, r) == Live && has(r.VM) {
+		if r.VM.Name != t.self && t.state(now, r) == Live && include(r.VM) {
 			names = append(names, r.VM.Name)
 		}
 	}
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -1,27 +1,28 @@
-// Package member keeps what one VM knows of the others: which VMs of its own
+// Package member keeps the membership table of one VM: which VMs of its own
 // availability zone are live, leaving, silent or gone, and a summary of every
 // other zone.
 //
 // # Entries
 //
-// Knowledge is a set of entries, each written by one VM only and numbered by
-// (incarnation, sequence). Of two entries under one key the higher number
-// stays, so entries may arrive late, twice or in any order. Entries of a VM
-// travel within its zone; rosters and loads of a zone travel everywhere,
-// published by the VM that rendezvous hashing names.
+// The table is a set of entries, each written by one VM only and numbered by
+// (incarnation, sequence). Of two entries with the same key the one with the
+// higher number wins, so entries may arrive late, twice or in any order. Entries
+// about a VM are gossiped within its zone. The roster and the load of a zone are
+// gossiped to all zones; the VM that rendezvous hashing selects publishes them.
 //
-// A table made WithReports has the VMs of all zones, for fleets in which any VM may have
-// work for any other. What VMs tell each other must not grow with all of them: their
-// entries travel to all zones, but their beats only within their own. For the other zones
-// two VMs report whom of their zone they do not hear, and a digest has one sum in place of
-// the stamps of another zone's VMs, which are compared only where the sums differ.
+// A table made WithReports holds the VMs of all zones, for fleets in which any VM may have
+// work for any other. To keep the gossip traffic of a VM from growing with the size of the
+// fleet, entries propagate to all zones, but heartbeats only within their own zone. For the
+// other zones, two VMs of each zone report which of its VMs are silent, and an exchange
+// compares one checksum for each other zone. The stamps of that zone's VMs are compared only
+// if the checksums differ.
 //
-// An entry is renewed in number only when its content changes. That its writer
-// is alive is told by a beat that rises on every heartbeat and travels in the
-// digests, at a few bytes: passing whole entries on for it cost 32 KB/s a VM at
-// 16 VMs in a zone.
+// The number of an entry rises only when its content changes. That its writer is
+// alive shows in a beat counter that rises on every heartbeat and is sent in the
+// digests, at a few bytes. Sending whole entries on every heartbeat cost 32 KB/s
+// per VM with 16 VMs in a zone.
 //
-// This is a replicated table with one writer a row. A merge is a total
+// This is a replicated table with one writer per row. A merge is a total
 // function and the arbitration order is the row's own number: the case in which
 // the updates of "Eventually Consistent Transactions" (Burckhardt et al.) need
 // no revision diagram, as no two replicas ever fork the same row.
@@ -30,16 +31,16 @@
 //
 //	t := member.NewTable("vm-a", "ro-nord-1", incarnation, now)
 //	t.Publish(now, state)
-//	send(t.Digest(now, scope))             // To a mate or another zone.
-//	delta := t.Answer(now, scope, digest)  // Where a digest arrives.
+//	send(t.Digest(now, scope))             // To a peer of this or another zone.
+//	delta := t.Answer(now, scope, digest)  // At the receiver of a digest.
 //	t.Take(now, delta)                     // Back at the sender.
 //	live := t.Live(now)
 //
 // and WithReports:
 //
 //	t.PublishReport(now)                   // On two VMs of each zone.
-//	zones := t.Differing(sums)             // Where another's Sums arrive.
-//	t.Digest(now, Scope{Zones: zones})     // To compare those.
+//	zones := t.Differing(sums)             // At the receiver of a peer's Sums.
+//	t.Digest(now, Scope{Zones: zones})     // To compare these zones.
 package member
 
 import (
@@ -48,28 +49,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key names an entry: the hash of its kind and what it is about. At 600 entries
-// two names share one with a chance of 1 in 10^14.
+// Key identifies an entry: the hash of its kind and its subject. Among 600
+// entries the chance of a collision is 1 in 10^14.
 type Key uint64
 
-// KeyOf returns the key of an entry by its name, such as "vm/a".
+// KeyOf returns the key of the entry with the given name, such as "vm/a".
 func KeyOf(name string) Key { return Key(xxhash.Sum64String(name)) }
 
-// Stamp names an entry, its number and how alive its writer is.
+// Stamp identifies an entry, its number and the last heartbeat of its writer.
 type Stamp struct {
 	Key         Key
 	Incarnation uint64
-	// Seq rises with each change of the content.
+	// Seq rises with each change of the content within an incarnation.
 	Seq uint64
 	// Beat rises with each heartbeat of the writer.
 	Beat uint64
-	// Age is the time since the last beat, as far as the one who passes it on
-	// knows. Without it a summary of a zone cut off long ago would look fresh to
-	// a VM that has just started, and a VM dead long ago alive.
+	// Age is the time since the last beat, as far as the sender of the stamp
+	// knows. Without it, a VM that has just started would take the summary of a
+	// zone that was partitioned long ago for recent, and a VM that died long ago
+	// for alive.
 	Age time.Duration
 }
 
-// newer reports whether s has another content than old, and the later one.
+// newer reports whether the content of s is later than that of old.
 func (s Stamp) newer(old Stamp) bool {
 	if s.Incarnation != old.Incarnation {
 		return s.Incarnation > old.Incarnation
@@ -77,12 +79,12 @@
 	return s.Seq > old.Seq
 }
 
-// livelier reports whether s tells of a later beat than old.
-func (s Stamp) livelier(old Stamp) bool {
+// laterBeat reports whether s has a later beat than old of the same incarnation.
+func (s Stamp) laterBeat(old Stamp) bool {
 	return s.Incarnation == old.Incarnation && s.Beat > old.Beat
 }
 
-// Entry is one row of the table: exactly one body is set.
+// Entry is one row of the table. Exactly one of the fields after Stamp is set.
 type Entry struct {
 	Stamp  Stamp
 	VM     *VM
@@ -92,84 +94,86 @@
 	Report *Report
 }
 
-// zonal reports whether the entry stays within its zone.
-func (e *Entry) zonal() bool { return e.VM != nil || e.Usage != nil }
+// aboutVM reports whether the entry describes a single VM rather than a zone. Such
+// entries stay within the VM's zone, except VM entries of a table made WithReports.
+func (e *Entry) aboutVM() bool { return e.VM != nil || e.Usage != nil }
 
-// Scope says what an exchange between two VMs is about.
+// Scope selects the entries that an exchange between two VMs covers.
 type Scope struct {
-	// Zone of the other VM.
+	// Zone is the zone of the other VM.
 	Zone string
-	// Global exchanges include the entries of all zones.
+	// Global exchanges include the rosters, loads and reports of all zones.
 	Global bool
-	// Zones are those whose VMs are compared one by one.
+	// Zones are the zones whose VM entries are compared one by one.
 	Zones []string
 }
 
-// Delta is the answer to a digest.
+// Delta is the response to a digest.
 type Delta struct {
+	// Entries are those that the digest lacks or has an older content of.
 	Entries []Entry
-	// Beats are later than those in the digest.
+	// Beats are the stamps with a later beat than in the digest.
 	Beats []Stamp
-	// Want are keys of which the digest has a newer content.
+	// Want are the keys of which the digest has a newer content.
 	Want []Key
 }
 
-// VM is what a VM tells its zone.
+// VM is the state that a VM publishes about itself.
 type VM struct {
 	Name    string
 	Zone    string
 	Address Address
 	Leaving bool
-	// Dispatches says that the VM knows its zone well enough to take slots.
+	// Dispatches says that the VM is in sync with its zone and may take slots.
 	Dispatches bool
-	// Version of the inventory in force.
+	// Version is the inventory version in force.
 	Version uint64
-	// Held slots by target.
+	// Held is the number of slots held, by target.
 	Held map[string]int
-	// Pending asks the mates to acknowledge this entry's Seq.
+	// Pending asks the peers to acknowledge this entry's Seq.
 	Pending bool
-	// Acks are the newest entries seen of mates that are Pending.
+	// Acks are the highest Seqs received of peers that are Pending, by name.
 	Acks map[string]uint64
-	// Gone are the VMs, with their incarnation, that the platform has taken away
-	// by what this VM read. Others may not have read the list in time to tell.
+	// Gone are the incarnations of the VMs that the platform has removed
+	// according to the list that this VM read, by name. Peers may not have read
+	// the list in time to see the removal themselves.
 	Gone map[string]uint64
-	// Health is what this VM has found out itself about upstreams that are not
+	// Health is what this VM has itself detected about upstreams that are not
 	// up: target to state name.
-	Health map[string]string
-	// Capacity is what the VM has.
+	Health   map[string]string
 	Capacity Capacity
-	// Traffic is what callers ask of it.
+	// Traffic is the load by callers.
 	Traffic Traffic
-	// PlatformTrip is the VM's round trip to the platform; 0: not known.
+	// PlatformTrip is the round trip to the platform; 0: not known.
 	PlatformTrip time.Duration
 }
 
-// Capacity is what a VM has. The zero value is one that is not known.
+// Capacity is the bandwidth and processor time of a VM. The zero value is not known.
 type Capacity struct {
 	// LinkMbps is the bandwidth of its link in each direction, in Mbit/s.
 	LinkMbps float64
-	// Cores is how much processor time it has in each second, in seconds of a usual core.
+	// Cores is the processor time available per second, in seconds of a typical core.
 	Cores float64
 }
 
-// Traffic is what callers ask for in each second.
+// Traffic is the load by callers per second.
 type Traffic struct {
 	Requests float64
-	// Bytes of requests' and answers' bodies.
+	// Bytes of the bodies of requests and responses.
 	Bytes float64
 }
 
-// Usage is what a VM's slots are used for.
+// Usage is the load of a VM and the demand of its callers.
 type Usage struct {
 	VM string
-	// Settled says that the VM knows its zone and has all slots in force that
-	// are its share, so that the figures tell what it can carry.
+	// Settled says that the VM is in sync with its zone and has its full share of
+	// slots in force, so that the figures show what it can carry.
 	Settled  bool
 	Services []ServiceLoad
 	Demands  []Demand
 }
 
-// Address is where a VM is reached.
+// Address lists the addresses of a VM, by who connects to them.
 type Address struct {
 	Name     string
 	Zone     string
@@ -180,7 +184,7 @@
 	Leaving  bool
 }
 
-// ServiceLoad is the load of one service in a VM or in a zone, in slots.
+// ServiceLoad is the load of one service on a VM or in a zone, in slots.
 type ServiceLoad struct {
 	Service string
 	Slots   int
@@ -188,7 +192,8 @@
 	Queued  int
 }
 
-// Demand is how many slots the callers of an origin zone ask for, served or not.
+// Demand is the number of slots that the callers of an origin zone ask for, whether
+// they get them or not.
 type Demand struct {
 	Service string
 	Origin  string
@@ -201,7 +206,7 @@
 	VMs  []Address
 }
 
-// Load sums up a zone.
+// Load is the summary of a zone.
 type Load struct {
 	Zone     string
 	Services []ServiceLoad
@@ -209,23 +214,23 @@
 	// MinVersion is the lowest inventory version in force on the zone's VMs.
 	MinVersion uint64
 	VMCount    int
-	// Settled VMs have their slots in force. With none the zone has just
-	// started, and that it has no slots says nothing yet.
+	// Settled is the number of VMs whose slots are in force. At 0 the zone has
+	// just started, and its number of slots means nothing yet.
 	Settled int
 }
 
-// State of a VM as others see it.
+// State is the state of a VM as seen by a peer.
 type State int
 
 // The states of a VM.
 const (
-	// Live VMs have been heard lately.
+	// Live VMs have sent a heartbeat recently.
 	Live State = iota
-	// Leaving VMs serve what they have.
+	// Leaving VMs drain: they finish their requests and take no new slots.
 	Leaving
-	// Silent VMs may be dead, paused or cut off. They may still hold slots.
+	// Silent VMs may be dead, paused or partitioned. They may still hold slots.
 	Silent
-	// Gone VMs hold nothing any more.
+	// Gone VMs hold no slots any more.
 	Gone
 )
 
@@ -234,7 +239,7 @@
 	return [...]string{"Live", "Leaving", "Silent", "Gone"}[s]
 }
 
-// Listed is the platform's lagging word on one VM.
+// Listed is one VM of the platform's list, which lags.
 type Listed struct {
 	Name    string
 	Zone    string
@@ -242,11 +247,11 @@
 	Leaving bool
 }
 
-// Status is one VM of the zone with what is known of it.
+// Status is one VM of the table and its state.
 type Status struct {
 	VM    *VM
 	State State
 	Stamp Stamp
-	// Heard is when its number last rose.
+	// Heard is when the VM was last seen alive.
 	Heard time.Time
 }
--- a/core/member/report.go
+++ b/core/member/report.go
@@ -9,43 +9,44 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Report says which VMs of its zone a VM does not hear. The others are alive as of the
-// report's beat.
+// Report lists the VMs of its zone from which a VM receives no heartbeats. The others
+// were alive as of the report's beat.
 type Report struct {
 	Zone string
 	// VM is the one that reports.
 	VM string
-	// Silent are the keys of the VMs it does not hear, in ascending order.
+	// Silent are the keys of the silent VMs' entries, in ascending order.
 	Silent []Key
 }
 
-// ZoneSum stands for the entries of a zone's VMs, their beats left out.
+// ZoneSum is a checksum of the entries of a zone's VMs without their beats.
 type ZoneSum struct {
 	Zone string
 	Sum  uint64
 }
 
-// zoneRecords are the records of one zone's VMs and of its reports.
+// zoneRecords indexes the records of one zone's VMs and of its reports.
 type zoneRecords struct {
 	vms     map[Key]*record
 	reports map[Key]*record
-	// sum is that of ZoneSum.
+	// sum is the checksum of ZoneSum.
 	sum uint64
 }
 
-// WithReports makes VMs' entries travel to all zones, while their beats stay within
-// their own: of another zone, reports tell who is alive.
-func WithReports() Option { return func(t *Table) { t.reports = true } }
+// WithReports makes the entries of VMs propagate to all zones, while their beats stay
+// within their own: which VMs of another zone are alive is taken from its reports.
+func WithReports() Option { return func(t *Table) { t.useReports = true } }
 
 func reportKey(zone, vm string) Key { return KeyOf("report/" + zone + "/" + vm) }
 
-// PublishReport tells the other zones which VMs of its own this one hears.
+// PublishReport publishes, for the other zones, which VMs of its own zone this VM
+// receives no heartbeats from.
 func (t *Table) PublishReport(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	report := &Report{Zone: t.zone, VM: t.self}
 	for key, r := range t.zoneOf(t.zone).vms {
-		if r.VM.Name != t.self && now.Sub(r.heard) > t.failAfter {
+		if r.VM.Name != t.self && now.Sub(r.lastSeen) > t.failAfter {
 			report.Silent = append(report.Silent, key)
 		}
 	}
@@ -53,7 +54,7 @@
 	t.publish(now, Entry{Stamp: Stamp{Key: reportKey(t.zone, t.self)}, Report: report})
 }
 
-// Sums returns a sum for each zone of which a VM is known.
+// Sums returns the checksum of each zone of which the table has a VM.
 func (t *Table) Sums() []ZoneSum {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -66,8 +67,8 @@
 	return sums
 }
 
-// Differing returns the zones of which this table and the one whose sums are given have
-// different entries.
+// Differing returns the zones whose VM entries differ between this table and the one
+// that the given checksums are of.
 func (t *Table) Differing(theirs []ZoneSum) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,7 +97,7 @@
 	return z
 }
 
-// addToZone and removeFromZone keep the records of zones in step with the entries.
+// addToZone and removeFromZone keep the index of zones consistent with the entries.
 func (t *Table) addToZone(r *record) {
 	switch {
 	case r.VM != nil:
@@ -119,7 +120,7 @@
 	}
 }
 
-// Content is a hash of what names an entry's content.
+// Content returns a hash of the key and number, which identify an entry's content.
 func (s Stamp) Content() uint64 {
 	var b [24]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(s.Key))
@@ -128,27 +129,28 @@
 	return xxhash.Sum64(b[:])
 }
 
-// takeReport renews when the VMs of another zone were last heard there. One VM of that
-// zone that hears a mate outweighs any number that do not: these may be cut off.
-func (t *Table) takeReport(now time.Time, report *record) {
+// applyReport updates when the VMs of another zone were last seen there. One report that
+// a VM is alive outweighs any number of reports that it is silent: their authors may be
+// partitioned from it.
+func (t *Table) applyReport(now time.Time, report *record) {
 	if report.Report.Zone == t.zone {
-		return // Its beats are heard here.
+		return // The beats of this zone are received directly.
 	}
 	z := t.zoneOf(report.Report.Zone)
-	// A VM that is reported silent counts as that at once, not only after as long again.
-	silentSince := report.heard.Add(-t.failAfter - 1)
+	// A VM that is reported silent becomes silent at once, not after another failAfter.
+	silentSince := report.lastSeen.Add(-t.failAfter - 1)
 	for _, r := range z.vms {
 		switch {
-		case report.Report.hears(r):
-			r.heard = latest(r.heard, report.heard)
-		case report.heard.After(r.heard) && !t.heardThere(now, z, r):
-			r.heard = earliest(r.heard, silentSince)
+		case report.Report.saysAlive(r):
+			r.lastSeen = latest(r.lastSeen, report.lastSeen)
+		case report.lastSeen.After(r.lastSeen) && !t.reportedAlive(now, z, r):
+			r.lastSeen = earliest(r.lastSeen, silentSince)
 		}
 	}
 }
 
-// hears reports whether a report says that a VM of its zone is alive.
-func (r *Report) hears(vm *record) bool {
+// saysAlive reports whether a report says that a VM of its zone is alive.
+func (r *Report) saysAlive(vm *record) bool {
 	if r.VM == vm.VM.Name {
 		return true
 	}
@@ -156,29 +158,30 @@
 	return !silent
 }
 
-// heardThere reports whether any report of a zone that still counts says that a VM is alive.
-func (t *Table) heardThere(now time.Time, z *zoneRecords, vm *record) bool {
+// reportedAlive reports whether any report of a zone within failAfter says that a VM is alive.
+func (t *Table) reportedAlive(now time.Time, z *zoneRecords, vm *record) bool {
 	for _, report := range z.reports {
-		if now.Sub(report.heard) <= t.failAfter && report.Report.hears(vm) {
+		if now.Sub(report.lastSeen) <= t.failAfter && report.Report.saysAlive(vm) {
 			return true
 		}
 	}
 	return false
 }
 
-// isStale reports whether a report of an age says nothing any more.
-func (t *Table) isStale(age time.Duration) bool { return age > 2*t.failAfter }
+// reportExpired reports whether a report of the given age no longer counts.
+func (t *Table) reportExpired(age time.Duration) bool { return age > 2*t.failAfter }
 
-// Partner returns the VM to exchange with of those of a zone, which are in order of name and
-// without self, "" where there are none. pick is any number; each VM has as many partners as
-// the logarithm of the VMs' number, at distances of powers of two, so that it keeps its
-// connections to them and a beat takes no more exchanges to go round than between any two.
-func Partner(mates []string, self string, pick int) string {
-	if len(mates) == 0 {
+// Partner returns the VM of a zone to exchange with, "" if there is none. The zone's VMs are
+// sorted by name and without self. pick is any non-negative number, such as a random one.
+// Each VM has a logarithmic number of partners, at distances of powers of two. So it keeps
+// its connections to them open, and a beat needs no more exchanges to reach all VMs than
+// with random pairs.
+func Partner(peers []string, self string, pick int) string {
+	if len(peers) == 0 {
 		return ""
 	}
-	steps := bits.Len(uint(len(mates)))
-	place, _ := slices.BinarySearch(mates, self)
-	// The VM's own place is left out: the next one stands there.
-	return mates[(place+1<<(pick%steps)-1)%len(mates)]
+	steps := bits.Len(uint(len(peers)))
+	index, _ := slices.BinarySearch(peers, self)
+	// As self is left out, its index is that of the VM after it.
+	return peers[(index+1<<(pick%steps)-1)%len(peers)]
 }
--- a/core/member/report_test.go
+++ b/core/member/report_test.go
@@ -11,17 +11,17 @@
 
 const beat = 500 * time.Millisecond
 
-// zonedFleet is VMs of several zones that exchange what they know in simulated time: on each
-// beat each with one of its zone, and some with one of another.
+// zonedFleet simulates the gossip of VMs in several zones: on each beat each VM exchanges
+// with a peer of its zone, and some with one of another zone.
 type zonedFleet struct {
 	rand   *rand.Rand
 	now    time.Time
 	tables map[string]*Table
 	names  []string
-	// dead VMs do nothing; cut reports whether two cannot reach each other.
+	// dead VMs do nothing; cut reports whether two VMs cannot reach each other.
 	dead map[string]bool
 	cut  func(a, b string) bool
-	// stamps is how many stamps and sums were told since it was last set to 0.
+	// stamps is the number of stamps and checksums sent since it was last reset.
 	stamps int
 }
 
@@ -48,7 +48,7 @@
 	delete(f.dead, name)
 }
 
-// run plays beats.
+// run simulates a number of beats.
 func (f *zonedFleet) run(beats int) {
 	for range beats {
 		f.now = f.now.Add(beat)
@@ -64,35 +64,35 @@
 	t := f.tables[name]
 	t.Tick(f.now)
 	t.Publish(f.now, VM{Name: name, Zone: zoneName(name)})
-	var mates, others []string
-	reporter := 0
+	var zonePeers, others []string
+	rank := 0 // Among the VMs of the zone, by name.
 	for _, other := range t.Live(f.now) {
 		switch {
 		case zoneName(other) != zoneName(name):
 			others = append(others, other)
 		case other == name:
 		default:
-			mates = append(mates, other)
+			zonePeers = append(zonePeers, other)
 			if other < name {
-				reporter++
+				rank++
 			}
 		}
 	}
-	if reporter < 2 {
+	if rank < 2 {
 		t.PublishReport(f.now)
 	}
 	if seeds := f.names[:min(3, len(f.names))]; len(t.Mates(f.now)) == 0 || f.rand.IntN(4) == 0 {
 		others = []string{seeds[f.rand.IntN(len(seeds))]}
 	}
-	if partner := Partner(mates, name, f.rand.IntN(64)); partner != "" {
+	if partner := Partner(zonePeers, name, f.rand.IntN(64)); partner != "" {
 		f.exchange(name, partner)
 	}
-	if len(others) > 0 && f.rand.IntN(len(mates)+1) < 4 {
+	if len(others) > 0 && f.rand.IntN(len(zonePeers)+1) < 4 {
 		f.exchange(name, others[f.rand.IntN(len(others))])
 	}
 }
 
-// exchange brings two VMs level, as the daemons do it over the network.
+// exchange merges the tables of two VMs, as the daemons do over the network.
 func (f *zonedFleet) exchange(from, to string) {
 	if from == to || f.dead[to] || f.cut(from, to) {
 		return
@@ -118,7 +118,7 @@
 	b.Merge(f.now, a.Get(f.now, scope, d.Want))
 }
 
-// states counts in what state a VM is with all others that run.
+// states counts the states that a VM has in the tables of the running VMs that among selects.
 func (f *zonedFleet) states(name string, among func(string) bool) map[State]int {
 	n := make(map[State]int)
 	for _, other := range f.names {
@@ -137,16 +137,16 @@
 
 func anyone(string) bool { return true }
 
-// expect fails where a VM is not in one state with all of some others.
+// expect fails if a VM is not in state want in the tables of all VMs that among selects.
 func (f *zonedFleet) expect(t *testing.T, name string, want State, among func(string) bool) {
 	t.Helper()
 	got := f.states(name, among)
 	if len(got) != 1 || got[want] == 0 {
-		t.Errorf("%s is %v, want it %v with all", name, got, want)
+		t.Errorf("%s: states and number of VMs %v, want all %v", name, got, want)
 	}
 }
 
-// Guards against digests that grow with all VMs of a fleet.
+// Guards against digests that grow with the size of the fleet.
 func TestBeatsStayInTheirZone(t *testing.T) {
 	const perZone = 12
 	perExchange := func(zones int) float64 {
@@ -154,7 +154,7 @@
 		f.run(40)
 		for _, name := range f.names {
 			if got := len(f.tables[name].Live(f.now)); got != zones*perZone {
-				t.Fatalf("%s knows %d live VMs of %d", name, got, zones*perZone)
+				t.Fatalf("%s has %d live VMs, want %d", name, got, zones*perZone)
 			}
 		}
 		f.stamps = 0
@@ -162,13 +162,14 @@
 		return float64(f.stamps) / float64(20*len(f.names))
 	}
 	few, many := perExchange(4), perExchange(12)
-	// Each zone adds a sum and its reports, not its VMs.
+	// Each zone adds a checksum and its reports, not its VMs.
 	if most := few + 8*8; many > most {
-		t.Errorf("with 12 zones of %d VMs %.0f stamps a VM and beat, with 4 %.0f: want at most %.0f", perZone, many, few, most)
+		t.Errorf("12 zones of %d VMs: %.0f stamps per VM and beat, with 4 zones %.0f; want at most %.0f", perZone, many, few, most)
 	}
 }
 
-// Guards against dead VMs that stay live in other zones, and against live ones taken for dead.
+// Guards against dead VMs that stay live in other zones, and against live VMs that become
+// silent there.
 func TestDeadVMsAreSilentEverywhere(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -176,10 +177,10 @@
 		within time.Duration
 	}{
 		{"one VM", func(vm string) bool { return vm == "z1/007" }, 7 * time.Second},
-		{"one that reports", func(vm string) bool { return vm == "z1/000" }, 7 * time.Second},
-		{"both that report", func(vm string) bool { return vm == "z1/000" || vm == "z1/001" }, 10 * time.Second},
+		{"one reporter", func(vm string) bool { return vm == "z1/000" }, 7 * time.Second},
+		{"both reporters", func(vm string) bool { return vm == "z1/000" || vm == "z1/001" }, 10 * time.Second},
 		{"a zone", func(vm string) bool { return zoneName(vm) == "z1" }, 6 * time.Second},
-		{"all but one of a zone", func(vm string) bool { return zoneName(vm) == "z1" && vm != "z1/009" }, 10 * time.Second},
+		{"all but one VM of a zone", func(vm string) bool { return zoneName(vm) == "z1" && vm != "z1/009" }, 10 * time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			for seed := range uint64(3) {
@@ -201,18 +202,18 @@
 	}
 }
 
-// Guards against VMs that start again and stay silent elsewhere.
-func TestVMsThatComeBackAreLive(t *testing.T) {
+// Guards against VMs that restart and stay silent in other zones.
+func TestRestartedVMsBecomeLive(t *testing.T) {
 	for seed := range uint64(3) {
 		f := newZonedFleet(seed, 4, 8)
 		f.run(30)
-		back := func(vm string) bool { return zoneName(vm) == "z2" || vm == "z0/000" || vm == "z3/005" }
+		restarts := func(vm string) bool { return zoneName(vm) == "z2" || vm == "z0/000" || vm == "z3/005" }
 		for _, name := range f.names {
-			f.dead[name] = back(name)
+			f.dead[name] = restarts(name)
 		}
 		f.run(20)
 		for _, name := range f.names {
-			if back(name) {
+			if restarts(name) {
 				f.start(name, 2)
 			}
 		}
@@ -223,8 +224,9 @@
 	}
 }
 
-// Guards against a zone that loses its own VMs while it is cut off, or the others afterwards.
-func TestZoneThatIsCutOffKeepsItsOwn(t *testing.T) {
+// Guards against a partitioned zone whose own VMs become silent to each other, and against
+// VMs that stay silent once the partition has healed.
+func TestPartitionedZoneKeepsOwnVMsLive(t *testing.T) {
 	for seed := range uint64(3) {
 		f := newZonedFleet(seed, 4, 8)
 		f.run(30)
@@ -243,7 +245,7 @@
 	}
 }
 
-// Guards against one reporter that is cut off and declares its whole zone silent.
+// Guards against a reporter that is partitioned from its zone and reports all of it silent.
 func TestOneReportOfSilenceIsNotEnough(t *testing.T) {
 	f := newZonedFleet(3, 4, 8)
 	f.run(30)
@@ -254,8 +256,9 @@
 	f.expect(t, "z1/004", Live, func(vm string) bool { return zoneName(vm) != "z1" })
 }
 
-// Guards against a connection for each exchange, and against beats that arrive too late.
-func TestPartnersAreFewAndBeatsGoRound(t *testing.T) {
+// Guards against exchanges that each need a new connection, and against beats that arrive
+// too late.
+func TestFewPartnersKeepAllVMsLive(t *testing.T) {
 	for _, n := range []int{2, 3, 8, 33, 124} {
 		f := newZonedFleet(uint64(n), 1, n)
 		f.run(40)
@@ -263,7 +266,7 @@
 			f.run(1)
 			for _, name := range f.names {
 				if got := len(f.tables[name].Live(f.now)); got != n {
-					t.Fatalf("of %d VMs %s takes %d for live", n, name, got)
+					t.Fatalf("%d VMs: %s has %d live VMs", n, name, got)
 				}
 			}
 		}
@@ -271,12 +274,12 @@
 		for pick := range 64 {
 			partner := Partner(f.tables[f.names[0]].Live(f.now)[1:], f.names[0], pick)
 			if partner == f.names[0] {
-				t.Errorf("of %d VMs one exchanges with itself", n)
+				t.Errorf("%d VMs: the first is its own partner", n)
 			}
 			partners[partner] = true
 		}
 		if most := 7; len(partners) > most {
-			t.Errorf("a VM of %d has %d partners, want at most %d", n, len(partners), most)
+			t.Errorf("%d VMs: the first has %d partners, want at most %d", n, len(partners), most)
 		}
 	}
 }
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -8,61 +8,64 @@
 	"time"
 )
 
-// FailAfter is the default silence after which a VM is not Live any more.
+// FailAfter is the default time without a heartbeat after which a VM is Silent.
 const FailAfter = 5 * time.Second
 
-// MaxListLag is the longest the platform's list of VMs is assumed to lag.
+// MaxListLag is the longest time that the platform's list of VMs is assumed to lag.
 const MaxListLag = 5 * time.Minute
 
-// Table is what one VM knows. It is safe for concurrent use.
+// Table is the membership table of one VM. It is safe for concurrent use.
 type Table struct {
 	self        string
 	zone        string
 	incarnation uint64
 	failAfter   time.Duration
-	reports     bool
+	useReports  bool
 
 	mu      sync.Mutex
 	entries map[Key]*record
-	// vms are the records of VMs, self included, by name.
+	// vms are the records of VMs, self included, sorted by name.
 	vms []*record
-	// accusers is how many VMs tell of others that the platform has taken away.
-	accusers int
-	zones    map[string]*zoneRecords
-	seq      uint64
-	beat     uint64
-	lastTick time.Time
-	resumed  time.Time // When the VM last started or woke from a pause.
-	listed   map[string]bool
-	listAt   time.Time
-	listHas  map[string]Listed
+	// goneReporters is the number of VMs whose Gone is not empty.
+	goneReporters int
+	zones         map[string]*zoneRecords
+	seq           uint64
+	beat          uint64
+	lastTick      time.Time
+	resumedAt     time.Time // When the VM last started or woke from a pause.
+	// everListed has the VMs that were ever on the platform's list, platformList those of
+	// the last one.
+	everListed   map[string]bool
+	listReadAt   time.Time
+	platformList map[string]Listed
 }
 
-// record is an entry with the time of its writer's last beat.
+// record is an entry of the table.
 type record struct {
 	Entry
-	heard time.Time
+	// lastSeen is when its writer was last seen alive.
+	lastSeen time.Time
 }
 
-// aged returns the entry to be passed on now.
-func (r *record) aged(now time.Time) Entry {
+// withAge returns the entry as it is sent now.
+func (r *record) withAge(now time.Time) Entry {
 	e := r.Entry
-	e.Stamp.Age = max(0, now.Sub(r.heard))
+	e.Stamp.Age = max(0, now.Sub(r.lastSeen))
 	return e
 }
 
-// Option varies a Table.
+// Option configures a Table.
 type Option func(*Table)
 
-// WithFailAfter sets the silence after which a VM is not Live any more.
+// WithFailAfter sets the time without a heartbeat after which a VM is Silent.
 func WithFailAfter(d time.Duration) Option { return func(t *Table) { t.failAfter = d } }
 
-// NewTable returns the table of a VM that knows only itself.
+// NewTable returns the empty table of the VM self.
 func NewTable(self, zone string, incarnation uint64, now time.Time, opts ...Option) *Table {
 	t := &Table{
 		self: self, zone: zone, incarnation: incarnation, failAfter: FailAfter,
-		entries: map[Key]*record{}, zones: map[string]*zoneRecords{}, lastTick: now, resumed: now,
-		listed: map[string]bool{}, listHas: map[string]Listed{},
+		entries: map[Key]*record{}, zones: map[string]*zoneRecords{}, lastTick: now, resumedAt: now,
+		everListed: map[string]bool{}, platformList: map[string]Listed{},
 	}
 	for _, opt := range opts {
 		opt(t)
@@ -74,9 +77,9 @@
 
 func usageKey(name string) Key { return KeyOf("usage/" + name) }
 
-// Tick is called on every heartbeat, before anything is judged by time. When
-// the VM itself was paused, the silence of the others is its own: without this
-// a VM that wakes takes every mate for failed at once.
+// Tick is called on every heartbeat, before the state of any VM is asked for. If
+// this VM itself was paused, Tick moves the last-seen times forward by the pause:
+// without this, a VM that wakes would take all its peers for silent at once.
 func (t *Table) Tick(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -86,22 +89,20 @@
 	if gap <= t.failAfter/2 {
 		return
 	}
-	t.resumed = now
+	t.resumedAt = now
 	for _, r := range t.entries {
-		r.heard = r.heard.Add(gap)
+		r.lastSeen = r.lastSeen.Add(gap)
 	}
 }
 
-// NextSeq is the number under which the next content of the VM's own entry
-// will stand.
+// NextSeq returns the Seq that the next changed content of the VM's own entry gets.
 func (t *Table) NextSeq() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.seq + 1
 }
 
-// Publish renews the VM's own entry and counts its beat. Acks and Gone are
-// filled in here.
+// Publish sets the VM's own entry and counts a beat. It fills in Acks and Gone.
 func (t *Table) Publish(now time.Time, vm VM) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -113,7 +114,7 @@
 		if r.VM.Pending {
 			vm.Acks[r.VM.Name] = r.Stamp.Seq
 		}
-		if t.takenAway(now, r) {
+		if t.removedByPlatform(now, r) {
 			vm.Gone[r.VM.Name] = r.Stamp.Incarnation
 		}
 	}
@@ -121,14 +122,14 @@
 	t.publish(now, Entry{Stamp: Stamp{Key: vmKey(t.self)}, VM: &vm})
 }
 
-// PublishUsage renews what the VM tells of its load.
+// PublishUsage sets the usage that the VM publishes.
 func (t *Table) PublishUsage(now time.Time, u Usage) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.publish(now, Entry{Stamp: Stamp{Key: usageKey(t.self)}, Usage: &u})
 }
 
-// PublishZone renews the roster and the load this VM publishes for its zone.
+// PublishZone sets the roster and the load that this VM publishes for its zone.
 func (t *Table) PublishZone(now time.Time, roster Roster, load Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -136,21 +137,21 @@
 	t.publish(now, Entry{Stamp: Stamp{Key: KeyOf("load/" + t.zone + "/" + t.self)}, Load: &load})
 }
 
-// publish stores an own entry. One whose content has not changed keeps its
-// number, so that only its beat has to travel.
+// publish stores an entry of this VM. If its content has not changed it keeps its
+// number, so that only its beat has to be sent.
 func (t *Table) publish(now time.Time, e Entry) {
 	old := t.entries[e.Stamp.Key]
 	e.Stamp.Incarnation, e.Stamp.Beat = t.incarnation, t.beat
-	if old != nil && old.sameBody(&e) {
+	if old != nil && old.sameContent(&e) {
 		e.Stamp.Seq = old.Stamp.Seq
 	} else {
 		t.seq++
 		e.Stamp.Seq = t.seq
 	}
-	t.put(&record{Entry: e, heard: now})
+	t.put(&record{Entry: e, lastSeen: now})
 }
 
-// put stores a record in place of an earlier one under its key.
+// put stores a record and replaces any earlier one with its key.
 func (t *Table) put(r *record) {
 	t.drop(r.Stamp.Key)
 	t.entries[r.Stamp.Key] = r
@@ -158,13 +159,13 @@
 	if r.VM == nil {
 		return
 	}
-	t.vms = slices.Insert(t.vms, t.place(r.VM.Name), r)
+	t.vms = slices.Insert(t.vms, t.vmIndex(r.VM.Name), r)
 	if len(r.VM.Gone) > 0 {
-		t.accusers++
+		t.goneReporters++
 	}
 }
 
-// drop takes a record out, if it is there.
+// drop deletes the record with the given key, if there is one.
 func (t *Table) drop(key Key) {
 	r := t.entries[key]
 	delete(t.entries, key)
@@ -175,29 +176,29 @@
 	if r.VM == nil {
 		return
 	}
-	i := t.place(r.VM.Name)
-	for t.vms[i] != r { // Another entry may claim the same name.
+	i := t.vmIndex(r.VM.Name)
+	for t.vms[i] != r { // Another entry may have the same name.
 		i++
 	}
 	t.vms = slices.Delete(t.vms, i, i+1)
 	if len(r.VM.Gone) > 0 {
-		t.accusers--
+		t.goneReporters--
 	}
 }
 
-// place returns the index in vms of the first record with a name, or where it belongs.
-func (t *Table) place(name string) int {
+// vmIndex returns the index in vms of the first record with a name, or where to insert one.
+func (t *Table) vmIndex(name string) int {
 	i, _ := slices.BinarySearchFunc(t.vms, name, func(r *record, name string) int { return strings.Compare(r.VM.Name, name) })
 	return i
 }
 
-func (e *Entry) sameBody(other *Entry) bool {
+func (e *Entry) sameContent(other *Entry) bool {
 	return reflect.DeepEqual(e.VM, other.VM) && reflect.DeepEqual(e.Usage, other.Usage) &&
 		reflect.DeepEqual(e.Roster, other.Roster) && reflect.DeepEqual(e.Load, other.Load) &&
 		reflect.DeepEqual(e.Report, other.Report)
 }
 
-// Own returns the VM's own entry, or nil before the first Publish.
+// Own returns the state that the VM published last, nil before the first Publish.
 func (t *Table) Own() *VM {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/member/zones.go
+++ b/core/member/zones.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// ZoneView is what is known of one availability zone.
+// ZoneView is the latest roster and load of one availability zone.
 type ZoneView struct {
 	Zone string
-	// VMs of the zone; leaving ones are marked.
+	// VMs of the zone, including leaving ones.
 	VMs []Address
-	// Load is nil where none was ever heard.
+	// Load is nil if none was ever received.
 	Load *Load
-	// LoadAge is the time since Load last arrived, and RosterAge since VMs did.
+	// LoadAge is the time since the publisher of Load was last seen, and RosterAge
+	// the same for the publisher of VMs.
 	LoadAge   time.Duration
 	RosterAge time.Duration
 }
 
-// Zones returns a view of each zone that was ever heard of, sorted by name.
-// Several VMs may have published a zone one after the other; the entry whose
-// writer was alive last stands.
+// Zones returns a view of each zone of which the table has a roster or load, sorted
+// by name. Several VMs may have published for a zone one after the other; the entry
+// whose writer was last seen alive counts.
 func (t *Table) Zones(now time.Time) []ZoneView {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -31,15 +32,15 @@
 		switch {
 		case r.Roster != nil:
 			v := viewOf(views, r.Roster.Zone)
-			if at, ok := rosterAt[v.Zone]; !ok || r.heard.After(at) {
-				rosterAt[v.Zone] = r.heard
-				v.VMs, v.RosterAge = r.Roster.VMs, now.Sub(r.heard)
+			if at, ok := rosterAt[v.Zone]; !ok || r.lastSeen.After(at) {
+				rosterAt[v.Zone] = r.lastSeen
+				v.VMs, v.RosterAge = r.Roster.VMs, now.Sub(r.lastSeen)
 			}
 		case r.Load != nil:
 			v := viewOf(views, r.Load.Zone)
-			if at, ok := loadAt[v.Zone]; !ok || r.heard.After(at) {
-				loadAt[v.Zone] = r.heard
-				v.Load, v.LoadAge = r.Load, now.Sub(r.heard)
+			if at, ok := loadAt[v.Zone]; !ok || r.lastSeen.After(at) {
+				loadAt[v.Zone] = r.lastSeen
+				v.Load, v.LoadAge = r.Load, now.Sub(r.lastSeen)
 			}
 		}
 	}
@@ -60,17 +61,18 @@
 	return v
 }
 
-// Summarize sums up the zone from the entries of its VMs, for PublishZone.
+// Summarize returns the roster and the load of the zone, computed from the entries
+// of its VMs, for PublishZone.
 func (t *Table) Summarize(now time.Time) (Roster, Load) {
-	mates := t.Mates(now)
+	peers := t.Mates(now)
 	roster := Roster{Zone: t.zone}
 	load := Load{Zone: t.zone}
 	own := t.Own()
 	if own != nil {
-		mates = append(mates, Status{VM: own, State: ownState(own)})
+		peers = append(peers, Status{VM: own, State: ownState(own)})
 	}
-	slices.SortFunc(mates, func(a, b Status) int { return strings.Compare(a.VM.Name, b.VM.Name) })
-	for _, m := range mates {
+	slices.SortFunc(peers, func(a, b Status) int { return strings.Compare(a.VM.Name, b.VM.Name) })
+	for _, m := range peers {
 		if m.State != Live && m.State != Leaving {
 			continue
 		}
@@ -89,7 +91,7 @@
 	return Live
 }
 
-// usage returns what a VM last told of its load.
+// usage returns the usage that a VM published last, empty if there is none.
 func (t *Table) usage(vm string) *Usage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -99,7 +101,7 @@
 	return &Usage{}
 }
 
-// add counts one VM into the zone's sum.
+// add adds one VM to the zone's summary.
 func (l *Load) add(vm *VM, u *Usage) {
 	if l.VMCount == 0 || vm.Version < l.MinVersion {
 		l.MinVersion = vm.Version
@@ -138,7 +140,7 @@
 	l.Demands = append(l.Demands, d)
 }
 
-// Service returns the load of one service, zero where it has none.
+// Service returns the load of one service, zero if the zone has none. l may be nil.
 func (l *Load) Service(name string) ServiceLoad {
 	if l != nil {
 		for _, s := range l.Services {
