--- a/core/replica/pack_test.go
+++ b/core/replica/pack_test.go
@@ -8,11 +8,11 @@
 	"auburnlatch/core/replica"
 )
 
-// Operators add some hundred routes and change them a few times within two seconds.
-// Each version was 80 KB, and each of 80 VMs took it from one of two others over
-// links of 10 Mbit/s: half of the VMs had the last one only four seconds after it
-// was accepted, and served by older ones until then.
-func TestLongValuesTravelPacked(t *testing.T) {
+// Operators add a few hundred routes and change them several times within two seconds.
+// Each version is 80 KB, and each of 80 VMs reads it from one of two peers over a link
+// of 10 Mbit/s. Uncompressed, half of the VMs had the last version only four seconds
+// after it was accepted and served by older ones until then.
+func TestLongValuesAreCompressed(t *testing.T) {
 	var long bytes.Buffer
 	for i := range 400 {
 		fmt.Fprintf(&long, `"route-%d":{"Host":"h%d.example","Prefix":"/p%d/","Service":"s","Timeout":"800ms"},`, i, i%7, i)
@@ -25,20 +25,20 @@
 	for _, r := range rows {
 		if r.Key == "short" {
 			if r.Packed != nil {
-				t.Error("a short value is packed")
+				t.Error("a short value is compressed")
 			}
 			continue
 		}
 		if len(r.Packed) == 0 || len(r.Packed) > long.Len()/5 {
-			t.Fatalf("%d bytes travel as %d", long.Len(), len(r.Packed))
+			t.Fatalf("%d bytes are compressed to %d, want a fifth at most", long.Len(), len(r.Packed))
 		}
 		got, err := replica.Unpack(r.Packed)
 		if err != nil || !bytes.Equal(got, long.Bytes()) {
 			t.Errorf("unpacked to %d bytes and %v, want %d", len(got), err, long.Len())
 		}
-		for _, spoilt := range [][]byte{r.Packed[:len(r.Packed)/2], []byte("no such thing")} {
-			if _, err := replica.Unpack(spoilt); err == nil {
-				t.Error("a spoilt value is unpacked without an error")
+		for _, corrupt := range [][]byte{r.Packed[:len(r.Packed)/2], []byte("not deflated")} {
+			if _, err := replica.Unpack(corrupt); err == nil {
+				t.Error("Unpack of a corrupt value returned no error")
 			}
 		}
 	}
--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -1,21 +1,21 @@
-// Package replica keeps a VM's copy of one table of the platform, brought up to
-// date by the platform or by other VMs that have a newer copy.
+// Package replica keeps a VM's replica of one table of the platform. It is updated
+// from the platform or from peers that have a newer replica.
 //
-// A copy is complete as of its version: it has every row that was changed up to
-// then. So a delta from any version not above a copy's own brings the copy to
-// the delta's version, whoever sent it, late or twice. Rows are arbitrated by
-// the table's own version counter: the case of "Eventually Consistent
+// A replica is complete as of its version: it has every row that was changed up to
+// then. So a delta from any version not above a replica's own brings the replica to
+// the delta's version, whoever sent it, also if it arrives late or twice. Rows are
+// arbitrated by the table's own version counter: the case of "Eventually Consistent
 // Transactions" (Burckhardt et al.) in which one arbiter orders all updates and
 // a replica only chooses how much of that order it sees.
 //
 // # Usage
 //
-//	t := replica.NewTable("targets", same)
-//	t.Apply(now, delta)                  // From the platform or a VM.
-//	d, ok := t.Since(now, version)       // For a VM that is at version.
-//	t.Renew(version, asOf)               // An answer proved the version the newest.
-//	rows, forgotten := t.Changed()       // What is new here since the last call.
-//	asOf, changes := t.Sure()            // As of when the copy is known to be the newest.
+//	t := replica.NewTable("targets", equivalent)
+//	t.Apply(now, delta)                  // From the platform or a peer.
+//	d := t.Since(now, version)           // For a peer whose replica is at version.
+//	t.Renew(version, asOf)               // A response proved that version was the newest.
+//	rows, expired := t.Changed()         // What has changed since the last call.
+//	asOf, changes := t.Sure()            // As of when the replica was certainly the newest.
 package replica
 
 import (
@@ -27,118 +27,118 @@
 	"auburnlatch/core/lease"
 )
 
-// Row is one row of a table. A removed row keeps its place, so that others hear
-// of the removal.
+// Row is one row of a table. A removed row is kept as a tombstone for a while, so that
+// the removal propagates.
 type Row struct {
 	Key     string
 	Version uint64
 	Value   []byte
-	// Packed is the value as it travels between VMs; nil: as it is.
+	// Packed is the compressed value that is sent between VMs; nil: Value is sent.
 	Packed  []byte
 	Removed bool
-	// At is when this VM took in the row's value.
+	// At is when this VM received the row's value.
 	At time.Time
-	// RemovedAt is when this VM heard of the removal.
+	// RemovedAt is when this VM received the removal.
 	RemovedAt time.Time
-	// AfterGap says that nobody had confirmed the copy for longer than LapseGap
+	// AfterGap says that the replica had been unconfirmed for longer than LapseGap
 	// before the removal: the row may have lapsed only because its owner could
-	// not reach the platform either. A VM that is told of a removal by another goes
-	// by what that one saw: it may have been behind for reasons of its own, such as
-	// a link that was choked, and would else use an upstream that has left for as
-	// long as one that may only have lapsed.
+	// not reach the platform either. A VM that receives a removal from a peer takes
+	// over the peer's AfterGap. Its own replica may have been behind for local
+	// reasons, such as a congested link, and it would otherwise keep using an
+	// upstream that has left for as long as one that may only have lapsed.
 	AfterGap bool
 }
 
-// Head says how far a copy is.
+// Head is the version of a replica and its age.
 type Head struct {
 	Table   string
 	Version uint64
 	// Age is the time since the platform confirmed the version as its newest.
 	Age time.Duration
 	// SureAge is the time since the moment as of which the version was certainly the newest,
-	// suspensions included, at the VM that tells it. Age may be too low by what a message
-	// or a suspension took.
+	// suspensions included, as measured by the VM that sends the head. Age may be too low by
+	// the duration of a message or a suspension.
 	SureAge time.Duration
 }
 
-// Delta brings a copy that is at version From or later up to To.
+// Delta brings a replica that is at version From or later up to To.
 type Delta struct {
 	From uint64
 	To   Head
-	// Whole deltas list all rows: what they do not list is removed.
+	// Whole deltas list all rows: any row that they do not list is removed.
 	Whole bool
-	// Told deltas come from another VM, whose rows say whether they were removed
-	// after a gap.
+	// Told deltas come from a peer: AfterGap of their removed rows is valid.
 	Told bool
 	Rows []Row
-	// Changes is the number of changes that the delta's table had seen: two of a VM's copy
-	// with the same number have the same rows, but for removals that were forgotten.
+	// Changes is the number of changes of the replica that the delta was taken from. While
+	// it stays the same, so do the replica's rows, except that tombstones may expire.
 	Changes uint64
 }
 
-// NeverConfirmed is the age of a copy that has never been confirmed.
+// NeverConfirmed is the age of a replica that has never been confirmed.
 const NeverConfirmed = 24 * time.Hour
 
 // LapseGap is the time without confirmation after which a removal may be due to
-// the platform's own outage: above the age at which a VM asks the platform itself,
-// 1.8 s where upstreams that leave are given 4 s.
+// an outage of the platform. It is longer than the age at which a VM reads the
+// platform itself, 1.8 s where VMs have 4 s to stop using an upstream that leaves.
 const LapseGap = 2500 * time.Millisecond
 
-// keepRemoved is how long a removal is remembered. A VM that was cut off for
-// longer is given all rows.
-const keepRemoved = 2 * time.Minute
+// tombstoneTTL is how long a removed row is kept. A VM that was partitioned for
+// longer gets a whole delta.
+const tombstoneTTL = 2 * time.Minute
 
-// Table is one VM's copy. It is safe for concurrent use.
+// Table is one VM's replica. It is safe for concurrent use.
 type Table struct {
-	name string
-	same func(key string, a, b []byte) bool
+	name       string
+	equivalent func(key string, a, b []byte) bool
 
 	mu    sync.Mutex
-	epoch time.Time // When the copy was first changed.
-	rows  map[string]*stored
-	// log has all rows by version. Rows that were replaced stay in it for a while.
-	log      []*stored
-	replaced int // Of log.
-	// removals are removed rows by the time of their removal, replaced ones among them.
-	removals []*stored
-	// fresh are the keys of the rows that changed since the last call of Changed.
-	fresh     map[string]struct{}
-	version   uint64
-	confirmed time.Time
-	// forgotten is the highest version before which removals may not be
-	// remembered, or never were known: deltas from before it cannot be given.
-	forgotten uint64
-	changes   uint64
-	newest    uint64 // Of the rows.
-	sure      lease.Lease
+	epoch time.Time // Of the first delta; the At of rows is relative to it.
+	rows  map[string]*storedRow
+	// log has all rows by version, and some replaced ones until it is compacted.
+	log      []*storedRow
+	replaced int // Number of replaced rows in log.
+	// tombstones has the removed rows by the time of their removal, including replaced ones.
+	tombstones []*storedRow
+	// changedKeys has the keys of the rows that changed since the last call of Changed.
+	changedKeys map[string]struct{}
+	version     uint64
+	confirmed   time.Time
+	// historyFrom is the lowest version from which the removals are complete. Earlier
+	// ones have expired or were never received, so a delta from an earlier version
+	// must be whole.
+	historyFrom uint64
+	changes     uint64
+	newestRow   uint64 // Highest version of a row.
+	verified    lease.Lease
 }
 
-// stored is a row as it is kept: a VM has some thousands of them.
-type stored struct {
+// storedRow is a Row in compact form: a VM has thousands of them.
+type storedRow struct {
 	key     string
 	version uint64
 	value   []byte
-	packed  *[]byte       // nil: Row.Packed is.
+	packed  *[]byte       // nil: Row.Packed is nil.
 	at      time.Duration // Since the table's epoch.
-	removed *removal
-	// replaced says that the table has a newer row of the key, or none.
+	removed *tombstone    // nil: not removed.
+	// replaced says that the table has a newer row with the key, or none.
 	replaced bool
 }
 
-// removal is what is known of the removal of a row.
-type removal struct {
+// tombstone says when a row was removed.
+type tombstone struct {
 	at       time.Time
 	afterGap bool
 }
 
-// NewTable returns an empty copy. same reports whether two values of a row mean
-// the same, as those that differ in a heartbeat counter do: such a change is
-// not passed on.
-func NewTable(name string, same func(key string, a, b []byte) bool) *Table {
-	return &Table{name: name, same: same, rows: make(map[string]*stored), fresh: make(map[string]struct{})}
+// NewTable returns an empty replica. equivalent reports whether two values of a row
+// have the same meaning, such as values that differ only in a heartbeat counter.
+// A change to an equivalent value is not stored and so not propagated.
+func NewTable(name string, equivalent func(key string, a, b []byte) bool) *Table {
+	return &Table{name: name, equivalent: equivalent, rows: make(map[string]*storedRow), changedKeys: make(map[string]struct{})}
 }
 
-// Head returns how far the copy is.
+// Head returns the version and age of the replica. It does not set SureAge.
 func (t *Table) Head(now time.Time) Head {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -153,34 +153,35 @@
 	return h
 }
 
-// Renew takes in that a version was the table's newest as of a moment. That counts where
-// the copy is complete as of that version: one that could not take the changes in is not
-// sure of them.
+// Renew records that a version was the table's newest as of a moment. It has an effect
+// only if the replica is complete as of that version: one that could not apply the changes
+// is not verified.
 func (t *Table) Renew(version uint64, asOf lease.Moment) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.confirmed.IsZero() && t.version >= version {
-		t.sure.Renew(asOf)
+		t.verified.Renew(asOf)
 	}
 }
 
-// Sure returns the moment as of which the copy certainly was the newest, and the number of
-// its changes, as Rows does.
+// Sure returns the moment as of which the replica certainly was the newest, and the number
+// of its changes, as Rows does.
 func (t *Table) Sure() (asOf lease.Moment, changes uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.sure.AsOf(), t.changes
+	return t.verified.AsOf(), t.changes
 }
 
-// Loaded reports whether the copy has ever been filled.
+// Loaded reports whether the replica has ever been filled.
 func (t *Table) Loaded() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.confirmed.IsZero()
 }
 
-// Apply takes in a delta and reports whether any row changed in meaning. One
-// that begins after the copy's own version is refused, as it would leave a gap.
+// Apply applies a delta and reports whether the meaning of any row changed. It
+// ignores a delta that begins after the replica's version, as it would leave a gap,
+// and one that ends before it.
 func (t *Table) Apply(now time.Time, d Delta) (changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -200,17 +201,17 @@
 	if at := now.Add(-d.To.Age); d.To.Age < NeverConfirmed && at.After(t.confirmed) {
 		t.confirmed = at
 	}
-	t.forget(now)
+	t.expireTombstones(now)
 	if changed {
 		t.changes++
 	}
 	return changed
 }
 
-// removeOthers removes what a whole delta does not list.
+// removeOthers removes the rows that a whole delta does not list.
 func (t *Table) removeOthers(now time.Time, d Delta) (changed bool) {
-	// What was removed before is not known from a list of what is there.
-	t.forgotten = max(t.forgotten, d.To.Version)
+	// A list of the present rows does not show what was removed earlier.
+	t.historyFrom = max(t.historyFrom, d.To.Version)
 	listed := make(map[string]bool, len(d.Rows))
 	for _, r := range d.Rows {
 		listed[r.Key] = true
@@ -223,27 +224,28 @@
 	return changed
 }
 
-// put stores a row unless a newer one is there. told says that the row knows
-// whether it was removed after a gap.
-func (t *Table) put(now time.Time, r *Row, told bool) bool {
+// put stores a row and reports whether that changed the replica. It ignores rows that
+// are not newer than the stored one, equivalent values, and removals of rows that are not
+// there. fromPeer says that the row's AfterGap is valid.
+func (t *Table) put(now time.Time, r *Row, fromPeer bool) bool {
 	old := t.rows[r.Key]
 	if old != nil && r.Version <= old.version {
 		return false
 	}
-	if old != nil && old.removed == nil && !r.Removed && t.same(r.Key, old.value, r.Value) {
+	if old != nil && old.removed == nil && !r.Removed && t.equivalent(r.Key, old.value, r.Value) {
 		return false
 	}
 	if r.Removed && (old == nil || old.removed != nil) {
 		return false
 	}
-	n := &stored{key: r.Key, version: r.Version}
+	n := &storedRow{key: r.Key, version: r.Version}
 	if r.Removed {
 		n.value, n.packed, n.at = old.value, old.packed, old.at
-		n.removed = &removal{at: now, afterGap: r.AfterGap}
-		if !told {
+		n.removed = &tombstone{at: now, afterGap: r.AfterGap}
+		if !fromPeer {
 			n.removed.afterGap = now.Sub(t.confirmed) > LapseGap
 		}
-		t.removals = append(t.removals, n)
+		t.tombstones = append(t.tombstones, n)
 	} else {
 		n.value, n.at = r.Value, now.Sub(t.epoch)
 		packed := r.Packed
@@ -260,13 +262,13 @@
 	}
 	t.rows[n.key] = n
 	t.addToLog(n)
-	t.fresh[n.key] = struct{}{}
-	t.newest = max(t.newest, r.Version)
+	t.changedKeys[n.key] = struct{}{}
+	t.newestRow = max(t.newestRow, r.Version)
 	return true
 }
 
-// addToLog enters a row into the log, mostly at its end.
-func (t *Table) addToLog(r *stored) {
+// addToLog inserts a row into the log, mostly at its end.
+func (t *Table) addToLog(r *storedRow) {
 	i := len(t.log)
 	if i > 0 && t.log[i-1].version > r.version {
 		i = t.after(r.version)
@@ -274,9 +276,9 @@
 	t.log = slices.Insert(t.log, i, r)
 }
 
-// after returns the index of the log's first row above a version.
+// after returns the index of the log's first row with a higher version.
 func (t *Table) after(version uint64) int {
-	i, _ := slices.BinarySearchFunc(t.log, version, func(r *stored, version uint64) int {
+	i, _ := slices.BinarySearchFunc(t.log, version, func(r *storedRow, version uint64) int {
 		if r.version <= version {
 			return -1
 		}
@@ -285,35 +287,36 @@
 	return i
 }
 
-// markReplaced marks a row that the table has no more. The log is cleaned once half of it is
-// replaced, so that each change pays for a constant part of that.
-func (t *Table) markReplaced(r *stored) {
+// markReplaced marks a row that is no longer in the table. The log is compacted once more
+// than half of it is replaced, so the amortized cost per change is constant.
+func (t *Table) markReplaced(r *storedRow) {
 	r.replaced = true
 	if t.replaced++; t.replaced <= len(t.log)/2 {
 		return
 	}
-	t.log = slices.DeleteFunc(t.log, func(r *stored) bool { return r.replaced })
+	t.log = slices.DeleteFunc(t.log, func(r *storedRow) bool { return r.replaced })
 	t.replaced = 0
 }
 
-func (t *Table) forget(now time.Time) {
+// expireTombstones deletes the removed rows older than tombstoneTTL.
+func (t *Table) expireTombstones(now time.Time) {
 	n := 0
-	for _, r := range t.removals {
-		if !r.replaced && now.Sub(r.removed.at) <= keepRemoved {
+	for _, r := range t.tombstones {
+		if !r.replaced && now.Sub(r.removed.at) <= tombstoneTTL {
 			break
 		}
 		n++
 		if !r.replaced {
-			t.forgotten = max(t.forgotten, r.version)
+			t.historyFrom = max(t.historyFrom, r.version)
 			delete(t.rows, r.key)
 			t.markReplaced(r)
 		}
 	}
-	t.removals = slices.Delete(t.removals, 0, n)
+	t.tombstones = slices.Delete(t.tombstones, 0, n)
 }
 
-// row returns a row as others see it.
-func (t *Table) row(r *stored) Row {
+// row returns a stored row as a Row.
+func (t *Table) row(r *storedRow) Row {
 	row := Row{Key: r.key, Version: r.version, Value: r.value, At: t.epoch.Add(r.at)}
 	if r.packed != nil {
 		row.Packed = *r.packed
@@ -325,12 +328,12 @@
 	return row
 }
 
-// Since returns what a copy at that version lacks, the whole table where
-// removals from then on are no longer remembered.
+// Since returns what a replica at the given version lacks. The delta is whole if
+// tombstones of rows removed since then have expired or were never received.
 func (t *Table) Since(now time.Time, version uint64) Delta {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	d := Delta{From: version, To: t.head(now), Whole: version < t.forgotten, Changes: t.changes}
+	d := Delta{From: version, To: t.head(now), Whole: version < t.historyFrom, Changes: t.changes}
 	log := t.log
 	if !d.Whole {
 		log = log[t.after(version):]
@@ -343,32 +346,32 @@
 	return d
 }
 
-// Newest returns the highest version of a row that is there or was removed. The
-// table's own version rises also with changes that mean nothing.
+// Newest returns the highest version of a present or removed row. The table's own
+// version also rises with changes to equivalent values.
 func (t *Table) Newest() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.newest
+	return t.newestRow
 }
 
-// Changed returns the rows that changed since the last call, removed ones included, and the
-// keys of those whose removal has been forgotten meanwhile, in no order.
-func (t *Table) Changed() (rows []Row, forgotten []string) {
+// Changed returns the rows that changed since the last call, including removed ones, and the
+// keys of those whose tombstones have expired since, in no particular order.
+func (t *Table) Changed() (rows []Row, expired []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for key := range t.fresh {
+	for key := range t.changedKeys {
 		if r := t.rows[key]; r != nil {
 			rows = append(rows, t.row(r))
 		} else {
-			forgotten = append(forgotten, key)
+			expired = append(expired, key)
 		}
 	}
-	t.fresh = make(map[string]struct{}) // One that was cleared would stay as large as it was.
-	return rows, forgotten
+	t.changedKeys = make(map[string]struct{}) // A cleared map would keep its size.
+	return rows, expired
 }
 
-// Rows returns all rows, removed ones included while remembered, in order of
-// key, and a number that rises with each change.
+// Rows returns all rows, including tombstones, sorted by key, and the number of
+// changes so far.
 func (t *Table) Rows() ([]Row, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
