--- a/core/callers/meter.go
+++ b/core/callers/meter.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// meterSpan is the time over which traffic is averaged.
-	meterSpan = 2 * time.Second
-	// riseAbove and fallBelow are how far traffic must have moved, as a part of what
-	// is told, to be told anew: each change travels to all VMs.
-	riseAbove, fallBelow = 1.3, 0.6
-	// leastTold is the traffic in requests a second below which a VM tells of none:
-	// a few requests that try it out do not make it one that callers use.
-	leastTold = 4.0
+	// averageWindow is the time constant of the moving average of traffic.
+	averageWindow = 2 * time.Second
+	// riseFactor and fallFactor are the ratios of the average to the published
+	// traffic beyond which the average is published: each change is sent to all VMs.
+	riseFactor, fallFactor = 1.3, 0.6
+	// minPublished is the traffic in requests per second below which a VM publishes
+	// none: a few test requests do not make it a VM that callers use.
+	minPublished = 4.0
 )
 
-// Meter measures what callers ask of a VM. The zero value is ready. It is safe for
-// concurrent use.
+// Meter measures the traffic of a VM's callers. The zero value is ready to use. It is
+// safe for concurrent use.
 type Meter struct {
-	mu       sync.Mutex
-	requests float64 // Since at.
-	bytes    float64
-	at       time.Time
-	average  member.Traffic
-	told     member.Traffic
+	mu        sync.Mutex
+	requests  float64 // Since sampled.
+	bytes     float64 // Since sampled.
+	sampled   time.Time
+	average   member.Traffic
+	published member.Traffic
 }
 
-// Add counts a request, and the bytes of its body and of its answer's.
+// Add counts a request with the bytes of its body and of the response's.
 func (m *Meter) Add(bytes int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -37,26 +37,30 @@
 	m.bytes += float64(bytes)
 }
 
-// Traffic returns what is to be told. It is called now and then.
+// Traffic updates the average and returns the traffic to publish. It is to be called
+// periodically.
 func (m *Meter) Traffic(now time.Time) member.Traffic {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.at.IsZero() {
-		m.at = now
+	if m.sampled.IsZero() {
+		m.sampled = now
 	}
-	if span := now.Sub(m.at); span > 0 {
-		part := min(1, float64(span)/float64(meterSpan))
+	if span := now.Sub(m.sampled); span > 0 {
+		part := min(1, float64(span)/float64(averageWindow))
 		m.average.Requests += part * (m.requests/span.Seconds() - m.average.Requests)
 		m.average.Bytes += part * (m.bytes/span.Seconds() - m.average.Bytes)
-		m.requests, m.bytes, m.at = 0, 0, now
+		m.requests, m.bytes, m.sampled = 0, 0, now
 	}
-	if moved(m.told.Requests, m.average.Requests) || moved(m.told.Bytes, m.average.Bytes) {
-		m.told = m.average
-		if m.average.Requests < leastTold {
-			m.told = member.Traffic{}
+	if changed(m.published.Requests, m.average.Requests) || changed(m.published.Bytes, m.average.Bytes) {
+		m.published = m.average
+		if m.average.Requests < minPublished {
+			m.published = member.Traffic{}
 		}
 	}
-	return m.told
+	return m.published
 }
 
-func moved(told, average float64) bool { return average > riseAbove*told || average < fallBelow*told }
+// changed reports whether an average is so far from the published value that it is to be published.
+func changed(published, average float64) bool {
+	return average > riseFactor*published || average < fallFactor*published
+}
--- a/core/callers/named.go
+++ b/core/callers/named.go
@@ -10,129 +10,132 @@
 )
 
 const (
-	// headroom is how many times the region's present traffic the named VMs can
-	// carry together. Callers come back three times as often when they are
-	// refused, and a burst doubles them; the figures are some seconds old, and
-	// what was looked up is cached for some more.
-	headroom = 8
-	// leastNamed is how few VMs are named where more could be: one that dies takes
-	// a fourth of the region's requests under way with it at most.
-	leastNamed = 4
-	// neverBelow is how few are named however wide they are. Callers of a single one
-	// have nowhere to go when it dies: for some seconds, until look-ups leave it out and
-	// those that were cached have run out, the region is not served at all.
-	neverBelow = 2
-	// requestSeconds is the processor time of one request, of a usual core: about
-	// three times what one takes through a VM on loopback, 80 us.
-	requestSeconds = 250e-6
-	// knownAbove is the traffic in requests a second below which a region's is
-	// taken for unknown: all VMs may just have started.
-	knownAbove = 20
-	// unknownLink and unknownCores stand for what a VM does not tell.
-	unknownLink, unknownCores = 1000.0, 1.0
+	// headroomFactor is how many times the region's current traffic the named VMs
+	// can carry together. Refused callers retry and make three times the requests,
+	// and a burst doubles them. The figures are some seconds old, and look-ups are
+	// cached for some more.
+	headroomFactor = 8
+	// preferredMin is the minimum number of VMs named, unless the next VM would
+	// reduce the capacity too much: one that dies then takes at most a fourth of
+	// the region's requests in flight with it.
+	preferredMin = 4
+	// absoluteMin is the minimum number of VMs named whatever their capacity.
+	// Callers of a single VM have no alternative when it dies: the region is not
+	// served at all for some seconds, until look-ups omit the VM and cached
+	// look-ups have expired.
+	absoluteMin = 2
+	// requestCPUSeconds is the processor time of one request on a typical core:
+	// about three times the 80 us of a request through a VM on loopback.
+	requestCPUSeconds = 250e-6
+	// minKnownRate is the traffic in requests per second below which the region's
+	// traffic counts as unknown: all VMs may just have started.
+	minKnownRate = 20
+	// defaultLinkMbps and defaultCores are assumed for a VM that publishes none.
+	defaultLinkMbps, defaultCores = 1000.0, 1.0
 )
 
-// Named returns those of a region's VMs that its callers are to use. It depends on
-// nothing but what the VMs tell of themselves, so that all look-ups name the same.
+// Named returns the VMs of a region that its callers are to use. The result depends
+// only on what the VMs publish about themselves, so all look-ups name the same VMs.
 //
-// The order is fixed by the VMs, and how many are named by the traffic: when that
-// grows, those named before stay.
+// The order depends on the VMs, and the number of VMs named on the traffic: when that
+// grows, the VMs named before stay.
 func Named(vms []*member.VM) []*member.VM {
 	var sum member.Traffic
 	for _, vm := range vms {
 		sum.Requests += vm.Traffic.Requests
 		sum.Bytes += vm.Traffic.Bytes
 	}
-	if sum.Requests < knownAbove {
-		return widest(vms, member.Traffic{Requests: knownAbove, Bytes: unknownBytes * knownAbove})
+	if sum.Requests < minKnownRate {
+		return maxCapacity(vms, member.Traffic{Requests: minKnownRate, Bytes: defaultRequestBytes * minKnownRate})
 	}
-	list, enough := ranked(vms, sum), 0
+	list, count := rank(vms, sum), 0
 	for i, c := range list {
-		if i+1 >= neverBelow && float64(i+1)*c.times >= headroom {
-			enough = i + 1
+		if i+1 >= absoluteMin && float64(i+1)*c.multiple >= headroomFactor {
+			count = i + 1
 		}
-		// Fewer than leastNamed it is where the next would be too narrow.
-		if i+1 >= leastNamed && enough > 0 {
+		// Fewer than preferredMin are named if the next VM's capacity is too low.
+		if i+1 >= preferredMin && count > 0 {
 			break
 		}
 	}
-	if enough == 0 {
-		return widest(vms, sum)
+	if count == 0 {
+		return maxCapacity(vms, sum)
 	}
-	return named(list[:enough])
+	return vmsOf(list[:count])
 }
 
-// unknownBytes is what a request and its answer carry where nobody knows.
-const unknownBytes = 10_000
+// defaultRequestBytes is the assumed size of the bodies of a request and its response
+// where the traffic is unknown.
+const defaultRequestBytes = 10_000
 
-// widest names the VMs that together carry most of what is spread evenly over
-// them: a VM with a narrow link among them bounds what the others get.
-func widest(vms []*member.VM, sum member.Traffic) []*member.VM {
-	list := ranked(vms, sum)
+// maxCapacity returns the VMs that together can carry the most traffic spread evenly
+// over them: the VM with the lowest capacity among them limits the share of all.
+func maxCapacity(vms []*member.VM, sum member.Traffic) []*member.VM {
+	list := rank(vms, sum)
 	best, most := 0, 0.0
 	for i, c := range list {
-		if carried := float64(i+1) * c.times; carried >= most || i+1 <= neverBelow {
-			best, most = i+1, carried
+		if total := float64(i+1) * c.multiple; total >= most || i+1 <= absoluteMin {
+			best, most = i+1, total
 		}
 	}
-	return named(list[:best])
+	return vmsOf(list[:best])
 }
 
-// candidate is a VM and how many times it could carry all of the region's traffic.
+// candidate is a VM and its capacity as a multiple of the region's traffic.
 type candidate struct {
-	vm    *member.VM
-	times float64
-	hash  uint64
+	vm       *member.VM
+	multiple float64
+	hash     uint64
 }
 
-// ranked lists VMs, those that carry most first. Among equals zones take turns, so
-// that the loss of one takes as few as can be.
-func ranked(vms []*member.VM, sum member.Traffic) []candidate {
+// rank returns the VMs sorted by capacity, highest first. VMs of equal capacity
+// alternate between zones, so that the loss of a zone affects as few as possible.
+func rank(vms []*member.VM, sum member.Traffic) []candidate {
 	list := make([]candidate, 0, len(vms))
 	for _, vm := range vms {
-		list = append(list, candidate{vm, times(vm.Capacity, sum), xxhash.Sum64String(vm.Name)})
+		list = append(list, candidate{vm, capacityMultiple(vm.Capacity, sum), xxhash.Sum64String(vm.Name)})
 	}
 	slices.SortFunc(list, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(b.times, a.times), cmp.Compare(a.hash, b.hash), cmp.Compare(a.vm.Name, b.vm.Name))
+		return cmp.Or(cmp.Compare(b.multiple, a.multiple), cmp.Compare(a.hash, b.hash), cmp.Compare(a.vm.Name, b.vm.Name))
 	})
 	for from := 0; from < len(list); {
 		to := from + 1
-		for to < len(list) && list[to].times == list[from].times {
+		for to < len(list) && list[to].multiple == list[from].multiple {
 			to++
 		}
-		takeTurns(list[from:to])
+		interleaveZones(list[from:to])
 		from = to
 	}
 	return list
 }
 
-// takeTurns orders candidates so that each zone's first comes before any zone's
+// interleaveZones orders candidates so that each zone's first comes before any zone's
 // second.
-func takeTurns(list []candidate) {
-	turns := make(map[string]int)
-	turn := make(map[string]int, len(list))
+func interleaveZones(list []candidate) {
+	counts := make(map[string]int)
+	indexInZone := make(map[string]int, len(list))
 	for _, c := range list {
-		turn[c.vm.Name] = turns[c.vm.Zone]
-		turns[c.vm.Zone]++
+		indexInZone[c.vm.Name] = counts[c.vm.Zone]
+		counts[c.vm.Zone]++
 	}
-	slices.SortStableFunc(list, func(a, b candidate) int { return cmp.Compare(turn[a.vm.Name], turn[b.vm.Name]) })
+	slices.SortStableFunc(list, func(a, b candidate) int { return cmp.Compare(indexInZone[a.vm.Name], indexInZone[b.vm.Name]) })
 }
 
-// times is how many times a VM could carry traffic that is not zero: by its link, which
-// takes each byte in and out, or by its processor, whichever ends first.
-func times(c member.Capacity, sum member.Traffic) float64 {
+// capacityMultiple returns how many times a VM could carry non-zero traffic, limited by
+// its link, which carries each byte in and out, or by its processor.
+func capacityMultiple(c member.Capacity, sum member.Traffic) float64 {
 	link, cores := c.LinkMbps, c.Cores
 	if link <= 0 {
-		link = unknownLink
+		link = defaultLinkMbps
 	}
 	if cores <= 0 {
-		cores = unknownCores
+		cores = defaultCores
 	}
 	const bytesPerMbit = 1e6 / 8
-	return min(link*bytesPerMbit/max(1, sum.Bytes), cores/(requestSeconds*sum.Requests))
+	return min(link*bytesPerMbit/max(1, sum.Bytes), cores/(requestCPUSeconds*sum.Requests))
 }
 
-func named(list []candidate) []*member.VM {
+func vmsOf(list []candidate) []*member.VM {
 	out := make([]*member.VM, 0, len(list))
 	for _, c := range list {
 		out = append(out, c.vm)
--- a/core/callers/named_test.go
+++ b/core/callers/named_test.go
@@ -15,13 +15,13 @@
 	"auburnlatch/core/member"
 )
 
-// The two sizes of VMs: some with a wide link, and many with a tenth of it.
+// The two capacities of VMs: a few have a wide link, and many a tenth of it.
 var (
 	wide   = member.Capacity{LinkMbps: 200, Cores: 0.8}
 	narrow = member.Capacity{LinkMbps: 20, Cores: 0.16}
 )
 
-// vms returns n VMs of a size, spread over three zones.
+// vms returns n VMs with the same capacity, spread over three zones.
 func vms(n int, size string, c member.Capacity) []*member.VM {
 	var list []*member.VM
 	for i := range n {
@@ -30,8 +30,8 @@
 	return list
 }
 
-// carrying returns VMs of which the first is asked for all of a traffic.
-func carrying(list []*member.VM, requests float64) []*member.VM {
+// withTraffic returns the list after giving all of a traffic to its first VM.
+func withTraffic(list []*member.VM, requests float64) []*member.VM {
 	if len(list) > 0 {
 		list[0].Traffic = member.Traffic{Requests: requests, Bytes: requests * 12_000}
 	}
@@ -53,23 +53,23 @@
 		requests float64
 		want     int
 	}{
-		{"none", nil, 100, 0},
-		{"one", vms(1, "n", narrow), 1000, 1},
-		{"few that are alike", vms(3, "n", narrow), 100, 3},
-		{"little traffic: few, but not fewer than four", vms(30, "n", narrow), 50, 4},
-		{"eight times 200 requests a second by the link of 20 Mbit/s", vms(30, "n", narrow), 200, 8},
-		{"more than all can carry eight times over", vms(30, "n", narrow), 5000, 30},
-		{"traffic that is not known", vms(30, "n", narrow), 0, 30},
-		{"wide ones carry it", slices.Concat(vms(56, "n", narrow), vms(9, "w", wide)), 600, 4},
-		{"not known: the wide ones carry more than all", slices.Concat(vms(56, "n", narrow), vms(9, "w", wide)), 0, 9},
-		{"three wide ones carry more than those with a narrow fourth", slices.Concat(vms(24, "n", narrow), vms(3, "w", wide)), 700, 3},
-		{"one that alone would be enough is not named alone", slices.Concat(vms(24, "n", narrow), vms(1, "w", member.Capacity{LinkMbps: 2000, Cores: 4})), 100, 4},
-		{"nor with those that could not take their part", slices.Concat(vms(24, "n", narrow), vms(1, "w", member.Capacity{LinkMbps: 2000, Cores: 4})), 700, 25},
-		{"nor where traffic is not known", slices.Concat(vms(1, "n", narrow), vms(1, "w", wide)), 0, 2},
-		{"one wide one carries less than all", slices.Concat(vms(24, "n", narrow), vms(1, "w", wide)), 700, 25},
+		{"no VM", nil, 100, 0},
+		{"one VM", vms(1, "n", narrow), 1000, 1},
+		{"few of equal capacity", vms(3, "n", narrow), 100, 3},
+		{"little traffic: the preferred minimum", vms(30, "n", narrow), 50, 4},
+		{"eight times 200 requests per second over links of 20 Mbit/s", vms(30, "n", narrow), 200, 8},
+		{"more traffic than all can carry eight times over", vms(30, "n", narrow), 5000, 30},
+		{"unknown traffic", vms(30, "n", narrow), 0, 30},
+		{"wide VMs suffice", slices.Concat(vms(56, "n", narrow), vms(9, "w", wide)), 600, 4},
+		{"unknown traffic: the wide VMs can carry more than all together", slices.Concat(vms(56, "n", narrow), vms(9, "w", wide)), 0, 9},
+		{"three wide VMs can carry more than with a narrow fourth", slices.Concat(vms(24, "n", narrow), vms(3, "w", wide)), 700, 3},
+		{"a VM that suffices is not named alone", slices.Concat(vms(24, "n", narrow), vms(1, "w", member.Capacity{LinkMbps: 2000, Cores: 4})), 100, 4},
+		{"a VM that suffices is not named with narrow ones that could not carry their part", slices.Concat(vms(24, "n", narrow), vms(1, "w", member.Capacity{LinkMbps: 2000, Cores: 4})), 700, 25},
+		{"unknown traffic: a wide VM is not named alone", slices.Concat(vms(1, "n", narrow), vms(1, "w", wide)), 0, 2},
+		{"one wide VM can carry less than all together", slices.Concat(vms(24, "n", narrow), vms(1, "w", wide)), 700, 25},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := names(callers.Named(carrying(tc.vms, tc.requests)))
+			got := names(callers.Named(withTraffic(tc.vms, tc.requests)))
 			if len(got) != tc.want {
 				t.Errorf("got %d VMs, want %d: %v", len(got), tc.want, got)
 			}
@@ -77,44 +77,44 @@
 	}
 }
 
-// A zone fails. Where four of twelve VMs are named and three zones have four each, no
-// zone may hold more than two of them, or half of a region's callers are cut off at once
-// where a third would be.
+// Three zones have four VMs each, and four of the twelve are named. If a zone had more than
+// two of these, its failure would disconnect more than half of the region's callers, where
+// about a third is possible.
 func TestNamedVMsAreSpreadOverZones(t *testing.T) {
 	perZone := make(map[string]int)
-	for _, vm := range callers.Named(carrying(vms(12, "w", wide), 400)) {
+	for _, vm := range callers.Named(withTraffic(vms(12, "w", wide), 400)) {
 		perZone[vm.Zone]++
 	}
 	for zone, n := range perZone {
 		if n > 2 {
-			t.Errorf("zone %s has %d of the named VMs", zone, n)
+			t.Errorf("zone %s has %d of the named VMs, want at most 2", zone, n)
 		}
 	}
 	if len(perZone) != 3 {
-		t.Errorf("%d zones are named, want 3", len(perZone))
+		t.Errorf("the named VMs are in %d zones, want 3", len(perZone))
 	}
 }
 
-// Look-ups are answered by any VM, each with its own list in its own order. All must
-// name the same VMs, and as traffic grows those named before must stay, or callers
-// give up connections for nothing.
+// Any VM answers look-ups, each from its own list in its own order. All must name the
+// same VMs, and as traffic grows the VMs named before must stay, or callers close
+// connections for no reason.
 func TestNamedProperties(t *testing.T) {
 	properties := gopter.NewProperties(nil)
-	properties.Property("order does not matter; growth keeps those who were named; enough is named", prop.ForAll(
+	properties.Property("the order of the list has no effect; VMs stay named as traffic grows; some VM is named", prop.ForAll(
 		func(nWide, nNarrow int, requests, growth float64, seed int64) string {
-			list := carrying(slices.Concat(vms(nWide, "w", wide), vms(nNarrow, "n", narrow)), requests)
+			list := withTraffic(slices.Concat(vms(nWide, "w", wide), vms(nNarrow, "n", narrow)), requests)
 			before := names(callers.Named(list))
-			mixed := slices.Clone(list)
-			rand.New(rand.NewPCG(uint64(seed), 1)).Shuffle(len(mixed), func(i, j int) { mixed[i], mixed[j] = mixed[j], mixed[i] })
-			if !slices.Equal(before, names(callers.Named(mixed))) {
-				return "another order of the list names other VMs"
+			shuffled := slices.Clone(list)
+			rand.New(rand.NewPCG(uint64(seed), 1)).Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
+			if !slices.Equal(before, names(callers.Named(shuffled))) {
+				return "another order of the list gives other VMs"
 			}
 			if len(list) > 0 && len(before) == 0 {
 				return "no VM is named"
 			}
-			after := names(callers.Named(carrying(list, requests*growth)))
+			after := names(callers.Named(withTraffic(list, requests*growth)))
 			if len(after) >= len(before) && !slices.Equal(after[:len(before)], before) {
-				return "growth has replaced a VM"
+				return "growing traffic has replaced a VM"
 			}
 			return ""
 		},
@@ -123,26 +123,25 @@
 	properties.TestingRun(t)
 }
 
-// Callers of a region ask 65 VMs for 560 requests a second, which go to 900 upstreams
-// whose connections are closed after ten seconds without a request. Spread over all
-// VMs, four of five requests open a connection; each costs the upstream a slot for a
-// moment and the caller a round trip. Those that are named now must open less than
-// two of five.
-func TestNamedVMsFindConnectionsOpen(t *testing.T) {
-	list := carrying(slices.Concat(vms(56, "n", narrow), vms(9, "w", wide)), 560)
-	all, named := opens(len(list)), opens(len(callers.Named(list)))
+// The callers of a region make 560 requests per second to 65 VMs, which send them to 900
+// upstreams and close a connection after ten seconds without a request. Spread over all
+// VMs, four of five requests open a connection, which occupies a slot of the upstream for a
+// moment and costs the caller a round trip. With the named VMs, less than two of five may.
+func TestNamedVMsReuseConnections(t *testing.T) {
+	list := withTraffic(slices.Concat(vms(56, "n", narrow), vms(9, "w", wide)), 560)
+	all, named := openFraction(len(list)), openFraction(len(callers.Named(list)))
 	if all < 0.75 || named > 0.4 {
-		t.Errorf("a share of %.2f of requests open a connection with %d VMs, of %.2f with those named", all, len(list), named)
+		t.Errorf("fraction of requests that open a connection: %.2f with all %d VMs, want at least 0.75; %.2f with the named, want at most 0.4", all, len(list), named)
 	}
 }
 
-// opens returns the share of requests that open a connection when n VMs take them in
-// turn at random.
-func opens(n int) float64 {
+// openFraction returns the fraction of requests that open a connection when each goes
+// to a random one of n VMs.
+func openFraction(n int) float64 {
 	const (
 		perSecond, seconds, upstreams = 560, 40, 900
-		warm                          = 10 * perSecond // Requests that are not counted.
-		keep                          = 9 * perSecond  // A connection's idle life, in requests of the region.
+		warmUp                        = 10 * perSecond // First requests, which are not counted.
+		idleTimeout                   = 9 * perSecond  // Of a connection, in requests of the region.
 	)
 	r := rand.New(rand.NewPCG(1, 2))
 	used := make(map[[2]int]int)
@@ -150,59 +149,59 @@
 	for i := range perSecond * seconds {
 		pair := [2]int{r.IntN(n), r.IntN(upstreams)}
 		last, ok := used[pair]
-		if i >= warm && (!ok || i-last > keep) {
+		if i >= warmUp && (!ok || i-last > idleTimeout) {
 			opened++
 		}
 		used[pair] = i
 	}
-	return float64(opened) / float64(perSecond*seconds-warm)
+	return float64(opened) / float64(perSecond*seconds-warmUp)
 }
 
-// A VM's traffic rises and falls. What it tells has to follow within seconds, but not
-// with every request: each change travels to all VMs.
+// A VM's traffic rises and falls. The published traffic has to follow within seconds,
+// but not with every request: each change is sent to all VMs.
 func TestMeter(t *testing.T) {
 	var m callers.Meter
 	now := time.Unix(1000, 0)
 	changes := 0
-	told := m.Traffic(now)
+	published := m.Traffic(now)
 	beat := func(n, requests int) {
 		for range n {
 			for range requests {
 				m.Add(1000)
 			}
 			now = now.Add(500 * time.Millisecond)
-			if got := m.Traffic(now); got != told {
-				told, changes = got, changes+1
+			if got := m.Traffic(now); got != published {
+				published, changes = got, changes+1
 			}
 		}
 	}
 	beat(20, 0)
 	if changes != 0 {
-		t.Errorf("without requests it told %d times", changes)
+		t.Errorf("%d changes published without requests, want none", changes)
 	}
 	beat(20, 1)
-	if told != (member.Traffic{}) {
-		t.Errorf("two requests a second are told as %+v", told)
+	if published != (member.Traffic{}) {
+		t.Errorf("published at two requests per second: %+v, want none", published)
 	}
 	beat(12, 50)
-	if told.Requests < 70 || told.Requests > 101 || told.Bytes < 70_000 {
-		t.Errorf("100 requests a second are told as %+v", told)
+	if published.Requests < 70 || published.Requests > 101 || published.Bytes < 70_000 {
+		t.Errorf("published at 100 requests per second: %+v", published)
 	}
 	changes = 0
 	for i := range 20 {
 		beat(1, 47+i%7)
 	}
 	if changes > 1 {
-		t.Errorf("steady traffic is told %d times", changes)
+		t.Errorf("%d changes published at steady traffic, want at most 1", changes)
 	}
 	beat(30, 0)
-	if told != (member.Traffic{}) {
-		t.Errorf("after its end traffic is told as %+v", told)
+	if published != (member.Traffic{}) {
+		t.Errorf("published after the end of traffic: %+v, want none", published)
 	}
 }
 
 func BenchmarkNamed(b *testing.B) {
-	list := carrying(slices.Concat(vms(56, "n", narrow), vms(9, "w", wide)), 560)
+	list := withTraffic(slices.Concat(vms(56, "n", narrow), vms(9, "w", wide)), 560)
 	for b.Loop() {
 		callers.Named(list)
 	}
