--- a/core/model/doc.go
+++ b/core/model/doc.go
@@ -1,12 +1,14 @@
-// Package model plays a service under load without a network: callers, VMs and
-// upstreams as events in simulated time, with the real code of the decisions.
+// Package model is a discrete-event simulation of a service under load: callers, VMs
+// and upstreams run in simulated time without a network, and requests are balanced by
+// the production code.
 //
-// An upstream has slots and a bounded queue, and remembers the objects it handled
-// last: one it knows takes a part of the work. Callers ask for objects of their
-// own region at a rate that changes by phases, and leave at their deadline. VMs
-// choose upstreams by a Policy; Ours is the product's Balancer, one for each VM,
-// which learns only from the answers to its own requests. The others are baselines
-// to compare with and nothing that ships.
+// An upstream has slots and a bounded queue, and caches the objects it served
+// last: a request for a cached object takes a fraction of the work. Callers request
+// objects of their own region at a rate that changes by phases, and cancel at their
+// deadline. VMs choose upstreams by a Policy. Ours uses the production Balancer, one
+// for each VM, which learns only from the responses to its own requests and from the
+// placements that its peers publish. The other policies are baselines for comparison
+// and not in production.
 //
 // # Usage
 //
--- a/core/model/even.go
+++ b/core/model/even.go
@@ -8,54 +8,57 @@
 	"auburnlatch/core/balance"
 )
 
-// Even is the bound on what can be had by placing objects: one table that all VMs
-// share at once, in which a new object goes to the target with the fewest, and an
-// object moves only when its target has left. What ours lacks to it is what not
-// hearing at once, and weighing few targets for each object, cost.
+// Even is the upper bound of what placing objects can achieve: all VMs share one
+// placement table without delay, a new object goes to the target with the fewest
+// objects, and an object moves only when its target has left. Ours falls short of it
+// by the cost of delayed placements and of considering only a few targets for each
+// object.
 type Even struct {
 	baseline
-	at    map[string]int
-	count []int
+	targetOf map[string]int // By object.
+	objects  []int          // Number of objects by target.
 }
 
-// NewEven returns an Even that knows no object.
+// NewEven returns an Even without placements.
 func NewEven(shape Shape) *Even {
-	return &Even{baseline: baseline{shape: shape}, at: make(map[string]int), count: make([]int, shape.Targets)}
+	return &Even{baseline: baseline{shape: shape}, targetOf: make(map[string]int), objects: make([]int, shape.Targets)}
 }
 
-// evenDepth is how many requests for each slot a target is sent.
-const evenDepth = 3
+// evenMaxPerSlot is the number of a target's requests per slot, running and queued, at
+// which Even refuses further ones.
+const evenMaxPerSlot = 3
 
 // Choose implements Policy.
 func (p *Even) Choose(_ time.Time, vm int, key string, s State) (int, balance.Lease) {
-	i, placed := p.at[key]
-	if !placed || i < p.first {
+	i, placed := p.targetOf[key]
+	if !placed || i < p.firstUp {
 		if placed {
-			p.count[i]--
+			p.objects[i]--
 		}
-		i = p.emptiest(vm, key, s)
-		p.at[key] = i
-		p.count[i]++
+		i = p.fewestObjects(vm, key, s)
+		p.targetOf[key] = i
+		p.objects[i]++
 	}
-	if s.Busy(i) >= evenDepth*p.shape.Slots {
+	if s.Busy(i) >= evenMaxPerSlot*p.shape.Slots {
 		return -1, balance.Lease{}
 	}
 	return i, balance.Lease{}
 }
 
-// emptiest returns the target with the fewest objects, among equals one that is near.
-func (p *Even) emptiest(vm int, key string, s State) int {
-	n := p.shape.Targets - p.first
+// fewestObjects returns the target with the fewest objects, preferring one in the VM's
+// region among equals.
+func (p *Even) fewestObjects(vm int, key string, s State) int {
+	n := p.shape.Targets - p.firstUp
 	from := int(xxhash.Sum64String(key) % uint64(n))
 	cost := func(i int) int {
 		if s.Far(vm, i) {
-			return 2*p.count[i] + 1
+			return 2*p.objects[i] + 1
 		}
-		return 2 * p.count[i]
+		return 2 * p.objects[i]
 	}
-	best := p.first + from
+	best := p.firstUp + from
 	for i := range n {
-		if at := p.first + (from+i)%n; cost(at) < cost(best) {
+		if at := p.firstUp + (from+i)%n; cost(at) < cost(best) {
 			best = at
 		}
 	}
--- a/core/model/patterns.go
+++ b/core/model/patterns.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Shapes of today. Work, aims, slots and memories are those of the users' look-up
-// services: an object that is known takes 0.3 and 0.25 of the work.
+// Shapes of services. Work, objectives, slots and cache sizes are those of the users'
+// look-up services: a cached object takes 0.3 and 0.25 of the work.
 var (
 	// SmallShape is a service of 16 targets behind 10 VMs.
 	SmallShape = Shape{
@@ -11,44 +11,45 @@
 		WorkNew: 240 * time.Millisecond, WorkKnown: 72 * time.Millisecond,
 		Aim: 300 * time.Millisecond, Deadline: 800 * time.Millisecond,
 	}
-	// GrownShape is one of 126 targets behind 78 VMs, whose work on a new object
-	// takes longer than the aim.
+	// GrownShape is a service of 126 targets behind 78 VMs, whose work on an object
+	// that is not cached takes longer than the objective.
 	GrownShape = Shape{
 		Name: "grown", Regions: 1, VMs: 78, Targets: 126, Slots: 4, Queue: 12, Knows: 29, Objects: 1746,
 		WorkNew: 720 * time.Millisecond, WorkKnown: 180 * time.Millisecond,
 		Aim: 500 * time.Millisecond, Deadline: 1500 * time.Millisecond,
 	}
-	// FarShape is SmallShape over three regions.
+	// FarShape is like SmallShape in three regions.
 	FarShape = Shape{
 		Name: "far", Regions: 3, VMs: 12, Targets: 18, Slots: 4, Queue: 12, Knows: 74, Objects: 564,
 		WorkNew: 240 * time.Millisecond, WorkKnown: 72 * time.Millisecond,
 		Aim: 300 * time.Millisecond, Deadline: 800 * time.Millisecond, FarTrip: 110 * time.Millisecond,
 	}
-	// SlowShape is a service with few objects for each target and work on a new object
-	// that takes longer than the aim: an object that is new once more is a late answer.
+	// SlowShape is a service with few objects for each target. Work on an object that is
+	// not cached takes longer than the objective, so each cache miss is a late response.
 	SlowShape = Shape{
 		Name: "slow", Regions: 3, VMs: 9, Targets: 12, Slots: 5, Queue: 15, Knows: 25, Objects: 72,
 		WorkNew: 880 * time.Millisecond, WorkKnown: 264 * time.Millisecond,
 		Aim: 600 * time.Millisecond, Deadline: 2500 * time.Millisecond, FarTrip: 70 * time.Millisecond,
 	}
-	// Shapes are all.
+	// Shapes lists all shapes.
 	Shapes = []Shape{SmallShape, GrownShape, FarShape, SlowShape}
 )
 
-// Pattern is a load on a shape, as parts of what its slots carry once all objects
-// are known.
+// Pattern is a load on any shape, relative to the capacity of its slots when all
+// objects are cached.
 type Pattern struct {
 	Name   string
 	Phases []PatternPhase
 }
 
-// PatternPhase is a stretch of a Pattern.
+// PatternPhase is a period of a Pattern. Load is a fraction of the capacity, and Down
+// the fraction of the targets that are down.
 type PatternPhase struct {
 	Length     time.Duration
 	Load, Down float64
 }
 
-// On returns the pattern's phases on a shape.
+// On returns the pattern's phases for a shape.
 func (p Pattern) On(s Shape) []Phase {
 	var list []Phase
 	for _, ph := range p.Phases {
@@ -59,17 +60,17 @@
 
 // The patterns.
 var (
-	// ColdStart has all targets new to all objects.
+	// ColdStart starts with all caches empty.
 	ColdStart = Pattern{"cold start", []PatternPhase{{30 * time.Second, 0.58, 0}}}
-	// HeavyColdStart is the same at a load that leaves little room.
+	// HeavyColdStart is a cold start at a load close to the capacity.
 	HeavyColdStart = Pattern{"heavy cold start", []PatternPhase{{20 * time.Second, 0.85, 0}}}
-	// Burst is 1.8 times a steady load for five seconds.
+	// Burst has 1.8 times the steady load for five seconds.
 	Burst = Pattern{"burst", []PatternPhase{{30 * time.Second, 0.58, 0}, {5 * time.Second, 1.05, 0}, {25 * time.Second, 0.58, 0}}}
-	// Shrunk takes a third of the targets away for good while the load stays.
+	// Shrunk permanently removes a third of the targets while the load stays.
 	Shrunk = Pattern{"shrunk", []PatternPhase{{20 * time.Second, 0.5, 0}, {30 * time.Second, 0.5, 0.35}}}
-	// SixthLost is a cold start at a load that uneven parts cannot carry, and the loss
-	// of a sixth of the targets.
+	// SixthLost is a cold start at a load that exceeds the capacity if objects are placed
+	// unevenly, followed by the loss of a sixth of the targets.
 	SixthLost = Pattern{"a sixth lost", []PatternPhase{{16 * time.Second, 0.65, 0}, {14 * time.Second, 0.65, 0.17}}}
-	// Patterns are all.
+	// Patterns lists all patterns.
 	Patterns = []Pattern{ColdStart, HeavyColdStart, Burst, Shrunk, SixthLost}
 )
--- a/core/model/play.go
+++ b/core/model/play.go
@@ -10,25 +10,28 @@
 	"auburnlatch/core/internal/eventqueue"
 )
 
-// Start is when every play begins.
+// Start is the time at which every simulation starts.
 var Start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// workSpread is how far a request's work strays from the usual, either way.
-const workSpread = 0.15
+// workJitter is the maximum deviation of a request's work from the average, as a
+// fraction of it.
+const workJitter = 0.15
 
-// Second is what became of the requests that were made in one second.
+// Second counts the requests that were made in one second by their outcome.
 type Second struct {
+	// Asked is their number. InAim of them were answered within the objective, Late
+	// within the deadline.
 	Asked, InAim, Late, Refused int
-	// Known is how many were sent to a target that knew their object.
+	// Known is the number that ran on a target that had their object cached.
 	Known int
 }
 
-// Result is a play by seconds.
+// Result is the outcome of a simulation by seconds.
 type Result struct {
 	Seconds []Second
 }
 
-// sum adds the seconds up from one to before another.
+// sum returns the sum of the seconds in [from, to).
 func (r Result) sum(from, to int) (sum Second) {
 	for _, s := range r.Seconds[from:min(to, len(r.Seconds))] {
 		sum.Asked += s.Asked
@@ -40,27 +43,28 @@
 	return sum
 }
 
-// InAim returns which share of the requests made in those seconds was answered
-// within the aim.
+// InAim returns the fraction of the requests made in the seconds [from, to) that was
+// answered within the objective.
 func (r Result) InAim(from, to int) float64 {
 	s := r.sum(from, to)
 	return float64(s.InAim) / max(1, float64(s.Asked))
 }
 
-// Known returns which share of the requests was sent to a target that knew the
-// object.
+// Known returns the fraction of the requests made in the seconds [from, to) that ran
+// on a target that had the object cached.
 func (r Result) Known(from, to int) float64 {
 	s := r.sum(from, to)
 	return float64(s.Known) / max(1, float64(s.Asked))
 }
 
-// Refused returns which share of the requests was refused.
+// Refused returns the fraction of the requests made in the seconds [from, to) that was
+// refused.
 func (r Result) Refused(from, to int) float64 {
 	s := r.sum(from, to)
 	return float64(s.Refused) / max(1, float64(s.Asked))
 }
 
-// request is one on its way.
+// request is a request in flight.
 type request struct {
 	key   string
 	vm    int
@@ -68,33 +72,34 @@
 	lease balance.Lease
 }
 
-// upstream is one target.
+// upstream is one target with its LRU cache of objects.
 type upstream struct {
 	running int
 	queue   []*request
-	known   map[string]*list.Element
-	order   *list.List
+	cached  map[string]*list.Element
+	lru     *list.List
 }
 
-// knows reports whether the object is known, and has it known from now on.
-func (u *upstream) knows(key string, keeps int) bool {
-	if e := u.known[key]; e != nil {
-		u.order.MoveToFront(e)
+// access reports whether the object is cached, and caches it. Beyond the given size
+// it evicts the least recently used object.
+func (u *upstream) access(key string, size int) bool {
+	if e := u.cached[key]; e != nil {
+		u.lru.MoveToFront(e)
 		return true
 	}
-	u.known[key] = u.order.PushFront(key)
-	if u.order.Len() > keeps {
-		last := u.order.Back()
-		delete(u.known, u.order.Remove(last).(string))
+	u.cached[key] = u.lru.PushFront(key)
+	if u.lru.Len() > size {
+		last := u.lru.Back()
+		delete(u.cached, u.lru.Remove(last).(string))
 	}
 	return false
 }
 
-// busy is how many requests are there, running and waiting.
+// busy returns the number of running and queued requests.
 func (u *upstream) busy() int { return u.running + len(u.queue) }
 
-// game is one play.
-type game struct {
+// simulation is the state of one simulation.
+type simulation struct {
 	shape     Shape
 	policy    Policy
 	rnd       *rand.Rand
@@ -103,119 +108,119 @@
 	seconds   []Second
 }
 
-// Play plays phases under a policy. The same arguments give the same result.
+// Play simulates phases with a policy. The same arguments give the same result.
 func Play(shape Shape, p Policy, seed uint64, phases []Phase) Result {
-	g := &game{shape: shape, policy: p, rnd: rand.New(rand.NewPCG(seed, 1))}
+	sim := &simulation{shape: shape, policy: p, rnd: rand.New(rand.NewPCG(seed, 1))}
 	for range shape.Targets {
-		g.upstreams = append(g.upstreams, &upstream{known: map[string]*list.Element{}, order: list.New()})
+		sim.upstreams = append(sim.upstreams, &upstream{cached: map[string]*list.Element{}, lru: list.New()})
 	}
-	end := g.schedule(phases)
-	g.seconds = make([]Second, int(end.Sub(Start)/time.Second)+1)
-	g.events.RunAll()
-	return Result{Seconds: g.seconds}
+	end := sim.schedule(phases)
+	sim.seconds = make([]Second, int(end.Sub(Start)/time.Second)+1)
+	sim.events.RunAll()
+	return Result{Seconds: sim.seconds}
 }
 
-// schedule enters all requests and returns when the last phase ends.
-func (g *game) schedule(phases []Phase) time.Time {
+// schedule adds the events of all phases and returns when the last phase ends.
+func (sim *simulation) schedule(phases []Phase) time.Time {
 	now := Start
 	for _, ph := range phases {
 		end := now.Add(ph.Length)
-		g.events.Add(now, func(time.Time) { g.policy.Targets(ph.Down) })
+		sim.events.Add(now, func(time.Time) { sim.policy.Targets(ph.Down) })
 		for now.Before(end) {
-			now = now.Add(time.Duration(g.rnd.ExpFloat64() / ph.PerSecond * float64(time.Second)))
-			r := &request{key: fmt.Sprint("object", g.rnd.IntN(g.shape.Objects)), made: now}
-			r.vm = g.vmFor(r.key)
-			g.events.Add(now, func(now time.Time) { g.arrive(now, r) })
+			now = now.Add(time.Duration(sim.rnd.ExpFloat64() / ph.PerSecond * float64(time.Second)))
+			r := &request{key: fmt.Sprint("object", sim.rnd.IntN(sim.shape.Objects)), made: now}
+			r.vm = sim.vmFor(r.key)
+			sim.events.Add(now, func(now time.Time) { sim.arrive(now, r) })
 		}
 	}
 	return now
 }
 
-// vmFor returns one of the VMs of the object's region.
-func (g *game) vmFor(key string) int {
+// vmFor returns a random VM of the object's region.
+func (sim *simulation) vmFor(key string) int {
 	var object int
 	// The key was made by schedule.
 	_, _ = fmt.Sscanf(key, "object%d", &object)
-	perRegion := g.shape.VMs / g.shape.Regions
-	return g.rnd.IntN(perRegion)*g.shape.Regions + object%g.shape.Regions
+	perRegion := sim.shape.VMs / sim.shape.Regions
+	return sim.rnd.IntN(perRegion)*sim.shape.Regions + object%sim.shape.Regions
 }
 
-// second counts by when the request was made.
-func (g *game) second(r *request) *Second { return &g.seconds[r.made.Sub(Start)/time.Second] }
+// second returns the counts of the second in which the request was made.
+func (sim *simulation) second(r *request) *Second { return &sim.seconds[r.made.Sub(Start)/time.Second] }
 
-// arrive has a VM choose a target.
-func (g *game) arrive(now time.Time, r *request) {
-	g.second(r).Asked++
-	i, lease := g.policy.Choose(now, r.vm, r.key, g)
+// arrive is the arrival of a request at its VM, which chooses a target.
+func (sim *simulation) arrive(now time.Time, r *request) {
+	sim.second(r).Asked++
+	i, lease := sim.policy.Choose(now, r.vm, r.key, sim)
 	if i < 0 {
-		g.second(r).Refused++
+		sim.second(r).Refused++
 		return
 	}
 	r.lease = lease
-	g.events.Add(now.Add(g.trip(r.vm, i)/2), func(now time.Time) { g.reach(now, r, i) })
+	sim.events.Add(now.Add(sim.rtt(r.vm, i)/2), func(now time.Time) { sim.receive(now, r, i) })
 }
 
-// trip is the round trip between a VM and a target.
-func (g *game) trip(vm, i int) time.Duration {
-	if vm%g.shape.Regions == i%g.shape.Regions {
+// rtt returns the round-trip time between a VM and a target.
+func (sim *simulation) rtt(vm, i int) time.Duration {
+	if vm%sim.shape.Regions == i%sim.shape.Regions {
 		return 0
 	}
-	return g.shape.FarTrip
+	return sim.shape.FarTrip
 }
 
-// reach has a target run a request, queue it or refuse it.
-func (g *game) reach(now time.Time, r *request, i int) {
-	u := g.upstreams[i]
+// receive is the arrival of a request at a target, which runs, queues or refuses it.
+func (sim *simulation) receive(now time.Time, r *request, i int) {
+	u := sim.upstreams[i]
 	switch {
-	case u.running < g.shape.Slots:
-		g.begin(now, r, i)
-	case len(u.queue) < g.shape.Queue:
+	case u.running < sim.shape.Slots:
+		sim.startWork(now, r, i)
+	case len(u.queue) < sim.shape.Queue:
 		u.queue = append(u.queue, r)
 	default:
-		g.back(now, r, i, true)
+		sim.respond(now, r, i, true)
 	}
 }
 
-func (g *game) begin(now time.Time, r *request, i int) {
-	u := g.upstreams[i]
+func (sim *simulation) startWork(now time.Time, r *request, i int) {
+	u := sim.upstreams[i]
 	u.running++
-	work := g.shape.WorkNew
-	if u.knows(r.key, g.shape.Knows) {
-		work = g.shape.WorkKnown
-		g.second(r).Known++
+	work := sim.shape.WorkNew
+	if u.access(r.key, sim.shape.Knows) {
+		work = sim.shape.WorkKnown
+		sim.second(r).Known++
 	}
-	work = time.Duration(float64(work) * (1 - workSpread + 2*workSpread*g.rnd.Float64()))
-	g.events.Add(now.Add(work), func(now time.Time) { g.finish(now, r, i) })
+	work = time.Duration(float64(work) * (1 - workJitter + 2*workJitter*sim.rnd.Float64()))
+	sim.events.Add(now.Add(work), func(now time.Time) { sim.finishWork(now, r, i) })
 }
 
-func (g *game) finish(now time.Time, r *request, i int) {
-	u := g.upstreams[i]
+func (sim *simulation) finishWork(now time.Time, r *request, i int) {
+	u := sim.upstreams[i]
 	u.running--
-	g.back(now, r, i, false)
-	for len(u.queue) > 0 && u.running < g.shape.Slots {
+	sim.respond(now, r, i, false)
+	for len(u.queue) > 0 && u.running < sim.shape.Slots {
 		next := u.queue[0]
 		u.queue = u.queue[1:]
-		if now.Sub(next.made) < g.shape.Deadline { // Else its caller has left.
-			g.begin(now, next, i)
+		if now.Sub(next.made) < sim.shape.Deadline { // Otherwise its caller has canceled.
+			sim.startWork(now, next, i)
 			continue
 		}
-		g.back(now, next, i, true)
+		sim.respond(now, next, i, true)
 	}
 }
 
-// back takes an answer to the VM and the caller.
-func (g *game) back(now time.Time, r *request, i int, refused bool) {
-	busy := g.upstreams[i].busy()
-	g.events.Add(now.Add(g.trip(r.vm, i)/2), func(now time.Time) {
+// respond sends a response to the VM and the caller.
+func (sim *simulation) respond(now time.Time, r *request, i int, refused bool) {
+	busy := sim.upstreams[i].busy()
+	sim.events.Add(now.Add(sim.rtt(r.vm, i)/2), func(now time.Time) {
 		took := now.Sub(r.made)
 		switch {
 		case refused:
-			g.second(r).Refused++
-		case took <= g.shape.Aim:
-			g.second(r).InAim++
-		case took <= g.shape.Deadline:
-			g.second(r).Late++
+			sim.second(r).Refused++
+		case took <= sim.shape.Aim:
+			sim.second(r).InAim++
+		case took <= sim.shape.Deadline:
+			sim.second(r).Late++
 		}
-		g.policy.Done(now, r.vm, r.lease, busy)
+		sim.policy.Done(now, r.vm, r.lease, busy)
 	})
 }
--- a/core/model/policy.go
+++ b/core/model/policy.go
@@ -10,9 +10,9 @@
 	"auburnlatch/core/balance"
 )
 
-// State is what a policy may look at that knows everything.
+// State is the exact state of the simulation, for policies with perfect knowledge.
 type State interface {
-	// Busy is how many requests a target has, running and waiting.
+	// Busy returns the number of a target's running and queued requests.
 	Busy(target int) int
 	// Far reports whether a VM and a target are in different regions.
 	Far(vm, target int) bool
@@ -20,42 +20,43 @@
 
 // Policy chooses the upstream of each request.
 type Policy interface {
-	// Targets says which part of the targets takes nothing from now on.
+	// Targets sets the fraction of the targets that are down from now on.
 	Targets(down float64)
 	// Choose returns a target, or -1 to refuse.
 	Choose(now time.Time, vm int, key string, s State) (target int, lease balance.Lease)
-	// Done tells of an answer, and how many requests the target had left.
+	// Done reports a response to a VM, with the number of the target's remaining
+	// requests.
 	Done(now time.Time, vm int, lease balance.Lease, busy int)
 }
 
 // Busy implements State.
-func (g *game) Busy(target int) int { return g.upstreams[target].busy() }
+func (sim *simulation) Busy(target int) int { return sim.upstreams[target].busy() }
 
 // Far implements State.
-func (g *game) Far(vm, target int) bool { return g.trip(vm, target) > 0 }
+func (sim *simulation) Far(vm, target int) bool { return sim.rtt(vm, target) > 0 }
 
-// Ours is the product's Balancer, one for each VM.
+// Ours is the Policy of the production Balancer, one for each VM.
 type Ours struct {
 	shape Shape
 	vms   []*balance.Balancer
-	// told is what VMs of a region have told each other, in order, and heard how
-	// much of it each VM has taken in.
-	told  [][]told
-	heard []int
+	// updates has the placements published in each region, in order, and applied the
+	// number of them that each VM has applied.
+	updates [][]placementUpdate
+	applied []int
 }
 
-// told are placements that reach the region's other VMs at a moment.
-type told struct {
+// placementUpdate is placements that the other VMs of the region receive at a time.
+type placementUpdate struct {
 	at   time.Time
 	list []balance.Placement
 }
 
-// tellAfter is what it takes for a placement to reach the other VMs.
-const tellAfter = 25 * time.Millisecond
+// propagationDelay is the time that a placement takes to reach the other VMs.
+const propagationDelay = 25 * time.Millisecond
 
-// NewOurs returns Balancers that know the targets and nothing else.
+// NewOurs returns a policy whose Balancers have the targets and no other state.
 func NewOurs(shape Shape) *Ours {
-	o := &Ours{shape: shape, told: make([][]told, shape.Regions), heard: make([]int, shape.VMs)}
+	o := &Ours{shape: shape, updates: make([][]placementUpdate, shape.Regions), applied: make([]int, shape.VMs)}
 	for i := range shape.VMs {
 		b := balance.New(fmt.Sprint("vm", i), shape.region(i), shape.region(i))
 		b.Join()
@@ -74,26 +75,26 @@
 
 // Choose implements Policy.
 func (o *Ours) Choose(now time.Time, vm int, key string, _ State) (int, balance.Lease) {
-	o.hear(now, vm)
+	o.applyUpdates(now, vm)
 	l, err := o.vms[vm].Choose(now, balance.Request{Service: service, Key: key, Urgent: true, Objective: o.shape.Aim, Within: o.shape.Aim})
 	if err != nil {
 		return -1, l
 	}
 	if news := o.vms[vm].News(); len(news) > 0 {
 		region := vm % o.shape.Regions
-		o.told[region] = append(o.told[region], told{now.Add(tellAfter), news})
+		o.updates[region] = append(o.updates[region], placementUpdate{now.Add(propagationDelay), news})
 	}
 	i, err := strconv.Atoi(l.Target.ID)
 	if err != nil {
-		return -1, l // IDs are numbers; targetList made them.
+		return -1, l // Cannot happen: targetList uses numbers for IDs.
 	}
 	return i, l
 }
 
-// hear has a VM take in what has reached it.
-func (o *Ours) hear(now time.Time, vm int) {
-	for list := o.told[vm%o.shape.Regions]; o.heard[vm] < len(list) && !now.Before(list[o.heard[vm]].at); o.heard[vm]++ {
-		o.vms[vm].Told(now, list[o.heard[vm]].list)
+// applyUpdates merges into a VM's Balancer the placements that have reached the VM.
+func (o *Ours) applyUpdates(now time.Time, vm int) {
+	for list := o.updates[vm%o.shape.Regions]; o.applied[vm] < len(list) && !now.Before(list[o.applied[vm]].at); o.applied[vm]++ {
+		o.vms[vm].Told(now, list[o.applied[vm]].list)
 	}
 }
 
@@ -105,19 +106,19 @@
 	})
 }
 
-// baseline is what those have in common that know everything and learn nothing.
+// baseline is the common part of the policies with perfect knowledge.
 type baseline struct {
-	shape Shape
-	first int // Targets before it are down.
+	shape   Shape
+	firstUp int // Targets before it are down.
 }
 
 // Targets implements Policy.
-func (b *baseline) Targets(down float64) { b.first = int(down * float64(b.shape.Targets)) }
+func (b *baseline) Targets(down float64) { b.firstUp = int(down * float64(b.shape.Targets)) }
 
 // Done implements Policy.
 func (*baseline) Done(time.Time, int, balance.Lease, int) {}
 
-// LeastUsed sends each request to the target with the least to do, by perfect
+// LeastUsed sends each request to the target with the fewest requests, with perfect
 // knowledge.
 type LeastUsed struct{ baseline }
 
@@ -126,20 +127,20 @@
 
 // Choose implements Policy.
 func (p *LeastUsed) Choose(_ time.Time, _ int, key string, s State) (int, balance.Lease) {
-	n := p.shape.Targets - p.first
-	// Among equals the search begins somewhere else for each object.
+	n := p.shape.Targets - p.firstUp
+	// The search starts at a different target for each object, to spread ties.
 	from := int(xxhash.Sum64String(key) % uint64(n))
-	best := p.first + from
+	best := p.firstUp + from
 	for i := range n {
-		if at := p.first + (from+i)%n; s.Busy(at) < s.Busy(best) {
+		if at := p.firstUp + (from+i)%n; s.Busy(at) < s.Busy(best) {
 			best = at
 		}
 	}
 	return best, balance.Lease{}
 }
 
-// Nearest sends each request to the target of the VM's region with the least to
-// do, by perfect knowledge.
+// Nearest sends each request to the target of the VM's region with the fewest
+// requests, with perfect knowledge.
 type Nearest struct{ baseline }
 
 // NewNearest returns a Nearest.
@@ -148,7 +149,7 @@
 // Choose implements Policy.
 func (p *Nearest) Choose(_ time.Time, vm int, _ string, s State) (int, balance.Lease) {
 	best := -1
-	for i := p.first; i < p.shape.Targets; i++ {
+	for i := p.firstUp; i < p.shape.Targets; i++ {
 		if !s.Far(vm, i) && (best < 0 || s.Busy(i) < s.Busy(best)) {
 			best = i
 		}
@@ -156,8 +157,8 @@
 	return best, balance.Lease{}
 }
 
-// Owner sends each request to the one target its object hashes to, however much
-// that has to do.
+// Owner sends each request to the one target that its object hashes to, regardless
+// of load.
 type Owner struct{ baseline }
 
 // NewOwner returns an Owner.
@@ -165,6 +166,6 @@
 
 // Choose implements Policy.
 func (p *Owner) Choose(_ time.Time, _ int, key string, _ State) (int, balance.Lease) {
-	n := uint64(p.shape.Targets - p.first)
-	return p.first + int(xxhash.Sum64String(key)%n), balance.Lease{}
+	n := uint64(p.shape.Targets - p.firstUp)
+	return p.firstUp + int(xxhash.Sum64String(key)%n), balance.Lease{}
 }
--- a/core/model/shape.go
+++ b/core/model/shape.go
@@ -10,40 +10,41 @@
 // Shape is a service with its VMs and callers.
 type Shape struct {
 	Name string
-	// Regions there are; VMs, targets and objects are dealt to them in turn.
+	// Regions is their number. VMs, targets and objects are assigned to them round robin.
 	Regions int
 	VMs     int
 	Targets int
-	// Slots is how many requests a target runs at once, Queue how many wait there.
+	// Slots is the number of requests that a target runs at once, Queue the number that
+	// wait there.
 	Slots, Queue int
-	// Knows is how many objects a target remembers, Objects how many there are.
+	// Knows is the number of objects that a target caches, Objects their total number.
 	Knows, Objects int
-	// WorkNew and WorkKnown are the usual work on an object that is new to a target
-	// and on one that it knows.
+	// WorkNew and WorkKnown are the average work on an object that a target has not
+	// cached and on one that it has.
 	WorkNew, WorkKnown time.Duration
-	// Aim is the time in which an answer is worth most, Deadline when callers leave.
+	// Aim is the objective for the latency, and callers cancel after Deadline.
 	Aim, Deadline time.Duration
-	// FarTrip is the round trip between regions.
+	// FarTrip is the RTT between regions.
 	FarTrip time.Duration
 }
 
-// Load returns the rate of requests that keeps a part of all slots busy if all
-// objects are known.
+// Load returns the rate of requests per second that occupies a fraction of all slots
+// when all objects are cached.
 func (s Shape) Load(part float64) float64 {
 	return part * float64(s.Targets*s.Slots) / s.WorkKnown.Seconds()
 }
 
-// Phase is a stretch of time with one rate of requests.
+// Phase is a period with a constant rate of requests.
 type Phase struct {
 	Length    time.Duration
 	PerSecond float64
-	// Down is the part of the targets that take nothing.
+	// Down is the fraction of the targets that are down.
 	Down float64
 }
 
 func (s Shape) region(i int) string { return fmt.Sprint("region", i%s.Regions) }
 
-// targetList returns the registered targets of which a part is down.
+// targetList returns the registered targets, of which a fraction is down.
 func (s Shape) targetList(down float64) []*target.Target {
 	var list []*target.Target
 	for i := range s.Targets {
@@ -55,5 +56,5 @@
 	return list
 }
 
-// service is the name of the only one.
+// service is the name of the only service.
 const service = "s"
