--- a/core/poison/answer.go
+++ b/core/poison/answer.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Outlives is how long after its response an upstream has to accept connections to count as
+// SurvivalTime is how long after its response an upstream has to accept connections to count as
 // having survived it. A process that crashes resets all its connections at once.
-const Outlives = 100 * time.Millisecond
+const SurvivalTime = 100 * time.Millisecond
 
 // Clearance is a response that clears a request of suspicion.
 type Clearance struct {
@@ -20,8 +20,8 @@
 }
 
 // Served records that an upstream answered a request. probe reports whether the caller has
-// to probe the upstream after Outlives: the response clears the request only once the upstream
-// is known to have survived it.
+// to probe the upstream after SurvivalTime: the response clears the request only once the
+// upstream is known to have survived it.
 func (l *Ledger) Served(now time.Time, r Run) (probe bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,7 +60,7 @@
 func (l *Ledger) confirmResponses(now time.Time, target string) {
 	for _, r := range l.takeUnconfirmed(target) {
 		c := Clearance{Print: r.Print, Began: r.Began, Answered: r.Ended}
-		if now.Sub(r.Ended) >= Outlives && l.applyClearance(now, c) {
+		if now.Sub(r.Ended) >= SurvivalTime && l.applyClearance(now, c) {
 			l.queueNews(func(n *News) { n.Served = append(n.Served, c) })
 		}
 	}
--- a/core/poison/answer_test.go
+++ b/core/poison/answer_test.go
@@ -19,13 +19,13 @@
 		then    func(l *poison.Ledger)
 		suspect bool
 	}{
-		{"began after the crashes, upstream survives", 1020, func(l *poison.Ledger) { l.NotEnded(at(1150), "i-9", true) }, false},
-		{"upstream crashes as it responds", 1020, func(l *poison.Ledger) { l.Ended(at(1150), "i-9") }, true},
-		{"upstream had crashed", 1020, func(l *poison.Ledger) { l.Ended(at(1040), "i-9") }, true},
-		{"upstream does not answer the probe", 1020, func(l *poison.Ledger) { l.NotEnded(at(1150), "i-9", false) }, true},
-		{"upstream is probed too early", 1020, func(l *poison.Ledger) { l.NotEnded(at(1060), "i-9", true) }, true},
-		{"began before the crashes", 900, func(l *poison.Ledger) { l.NotEnded(at(1150), "i-9", true) }, true},
-		{"began between the crashes", 1005, func(l *poison.Ledger) { l.NotEnded(at(1150), "i-9", true) }, true},
+		{"began after the crashes, upstream survives", 1020, func(l *poison.Ledger) { l.NotCrashed(at(1150), "i-9", true) }, false},
+		{"upstream crashes as it responds", 1020, func(l *poison.Ledger) { l.Crashed(at(1150), "i-9") }, true},
+		{"upstream had crashed", 1020, func(l *poison.Ledger) { l.Crashed(at(1040), "i-9") }, true},
+		{"upstream does not answer the probe", 1020, func(l *poison.Ledger) { l.NotCrashed(at(1150), "i-9", false) }, true},
+		{"upstream is probed too early", 1020, func(l *poison.Ledger) { l.NotCrashed(at(1060), "i-9", true) }, true},
+		{"began before the crashes", 900, func(l *poison.Ledger) { l.NotCrashed(at(1150), "i-9", true) }, true},
+		{"began between the crashes", 1005, func(l *poison.Ledger) { l.NotCrashed(at(1150), "i-9", true) }, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			l := poison.NewLedger()
@@ -56,7 +56,7 @@
 		}
 		l.Served(at(ms+30), poison.Run{Print: printOf("killer"), Target: target, Began: at(ms), Ended: at(ms + 30), Alone: trial.Alone})
 		trial.Done()
-		l.Ended(at(ms+130), target)
+		l.Crashed(at(ms+130), target)
 	}
 	l.Tick(at(5000))
 	if !banned(l, 5000, "killer") {
@@ -69,13 +69,13 @@
 func TestPropagatedAnswersClearOfEarlierCrashesOnly(t *testing.T) {
 	a, b := poison.NewLedger(), poison.NewLedger()
 	crash(a, 1000, "i-1", "a")
-	b.Told(at(1030), a.TakeNews())
+	b.MergeNews(at(1030), a.TakeNews())
 	crash(b, 1500, "i-2", "a")
 	answerAndSurvive(a, 1300, "a") // Its run began at 1200.
 	if a.Knows(printOf("a").Head) {
 		t.Fatal("the VM that saw the response suspects the request")
 	}
-	b.Told(at(1600), a.TakeNews())
+	b.MergeNews(at(1600), a.TakeNews())
 	if got := b.Counts().Suspects; got != 1 {
 		t.Errorf("the other VM has %d suspects, want the one with a crash after the response", got)
 	}
@@ -106,7 +106,7 @@
 				t.Fatal("not banned after three consecutive crashes")
 			}
 			l.Served(at(2100), poison.Run{Print: printOf("a"), Target: "i-9", Began: at(tt.began), Ended: at(2100)})
-			l.NotEnded(at(2200), "i-9", true)
+			l.NotCrashed(at(2200), "i-9", true)
 			if got := banned(l, 2300, "a"); got != tt.banned {
 				t.Errorf("banned: %t, want %t", got, tt.banned)
 			}
@@ -146,7 +146,7 @@
 	if banned(l, 1400, "a") {
 		t.Error("banned after a response and before the probe of its upstream")
 	}
-	l.NotEnded(at(1400), "lives", true)
+	l.NotCrashed(at(1400), "lives", true)
 	l.Tick(at(1500))
 	if l.Knows(printOf("a").Head) {
 		t.Error("suspected though it was answered after all crashes")
@@ -185,7 +185,7 @@
 	for i := range 2000 {
 		l.ServedUnsuspected(poison.Run{Target: "i-1", Began: at(i), Ended: at(i)}, requestOf(fmt.Sprint(i)))
 	}
-	if runs := l.Ended(at(2000), "i-1"); len(runs) == 0 || len(runs) > 100 {
+	if runs := l.Crashed(at(2000), "i-1"); len(runs) == 0 || len(runs) > 100 {
 		t.Errorf("%d of 2000 runs count as in flight at the crash, want those of the last 100 ms", len(runs))
 	}
 }
@@ -197,7 +197,7 @@
 	l.ServedUnsuspected(poison.Run{Target: "i-1", Began: at(100), Ended: at(180)}, requestOf("killer"))
 	l.ServedUnsuspected(poison.Run{Target: "i-2", Began: at(100), Ended: at(180)}, requestOf("elsewhere"))
 	crash(other, 200, "i-1", "bystander")
-	l.Told(at(230), other.TakeNews())
+	l.MergeNews(at(230), other.TakeNews())
 	for name, want := range map[string]bool{"killer": true, "bystander": true, "elsewhere": false} {
 		if got := l.Knows(requestOf(name).Head()); got != want {
 			t.Errorf("%s is suspected: %t, want %t", name, got, want)
@@ -215,7 +215,7 @@
 	l.ServedUnsuspected(poison.Run{Target: "i-1", Began: at(50), Ended: at(180)}, req)
 	var wg sync.WaitGroup
 	wg.Go(func() { req.Print() })
-	wg.Go(func() { l.Ended(at(200), "i-1") })
+	wg.Go(func() { l.Crashed(at(200), "i-1") })
 	wg.Wait()
 	if !l.Knows(req.Head()) {
 		t.Error("the request is not suspected")
@@ -228,9 +228,9 @@
 	l := poison.NewLedger()
 	crash(l, 900, "i-0", "a")
 	l.Served(at(1400), poison.Run{Print: printOf("a"), Target: "lives", Began: at(950), Ended: at(1400)})
-	l.NotEnded(at(1500), "lives", true)
+	l.NotCrashed(at(1500), "lives", true)
 	for i := range 3 {
-		l.Told(at(1600), poison.News{Runs: []poison.Run{
+		l.MergeNews(at(1600), poison.News{Runs: []poison.Run{
 			{Print: printOf("a"), Target: fmt.Sprint("i-", i+1), Began: at(960 + 100*i), Ended: at(1050 + 100*i), Alone: i == 2},
 		}})
 	}
@@ -269,7 +269,7 @@
 	for i, ended := range []int{600, 800, 900} {
 		target := fmt.Sprint("late-", i)
 		for _, name := range []string{"popular", "killer"} {
-			l.Told(at(1500), poison.News{Runs: []poison.Run{{Print: printOf(name), Target: target, Began: at(ended - 50), Ended: at(ended), Alone: name == "killer"}}})
+			l.MergeNews(at(1500), poison.News{Runs: []poison.Run{{Print: printOf(name), Target: target, Began: at(ended - 50), Ended: at(ended), Alone: name == "killer"}}})
 		}
 	}
 	if !admitted(l, 1600, "popular") || l.Counts().Suspects != 1 {
@@ -279,7 +279,7 @@
 	if !banned(l, 2500, "killer") {
 		t.Error("the poison request is not banned")
 	}
-	l.Told(at(2600), poison.News{Runs: []poison.Run{{Print: printOf("popular"), Target: "i-9", Began: at(1900), Ended: at(2000)}}})
+	l.MergeNews(at(2600), poison.News{Runs: []poison.Run{{Print: printOf("popular"), Target: "i-9", Began: at(1900), Ended: at(2000)}}})
 	if l.Counts().Suspects != 1 {
 		t.Error("a crash after its response does not count against the popular request")
 	}
--- a/core/poison/ban.go
+++ b/core/poison/ban.go
@@ -163,9 +163,9 @@
 	return list
 }
 
-// Unkept returns the bans older than olderThan that the platform is not known to have
+// Unpersisted returns the bans older than olderThan that the platform is not known to have
 // stored.
-func (l *Ledger) Unkept(now time.Time, olderThan time.Duration) []Ban {
+func (l *Ledger) Unpersisted(now time.Time, olderThan time.Duration) []Ban {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []Ban
@@ -177,8 +177,8 @@
 	return list
 }
 
-// Recalled merges bans read from the platform.
-func (l *Ledger) Recalled(now time.Time, list []Ban) {
+// Restore merges bans read from the platform.
+func (l *Ledger) Restore(now time.Time, list []Ban) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mergePersisted(now, list)
--- a/core/poison/bench_test.go
+++ b/core/poison/bench_test.go
@@ -16,7 +16,7 @@
 		bans = append(bans, poison.Ban{Print: printOf(fmt.Sprint("b-", i)), At: at(i).UnixMilli()})
 		crash(l, i, fmt.Sprint("i-", i), fmt.Sprint("s-", i))
 	}
-	l.Told(at(0), poison.News{Bans: bans})
+	l.MergeNews(at(0), poison.News{Bans: bans})
 	body := make([]byte, 4<<10)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/core/poison/example_test.go
+++ b/core/poison/example_test.go
@@ -21,8 +21,8 @@
 		upstream := fmt.Sprint("i-", i)
 		run := poison.Run{Print: req.Print(), Target: upstream, Began: now, Ended: now.Add(time.Second), Alone: trial != nil && trial.Alone}
 		now = now.Add(time.Second)
-		l.Broke(now, run)
-		l.Ended(now, upstream)
+		l.ConnectionLost(now, run)
+		l.Crashed(now, upstream)
 		trial.Done()
 		now = now.Add(time.Second)
 		l.Tick(now)
--- a/core/poison/fleet_test.go
+++ b/core/poison/fleet_test.go
@@ -175,7 +175,7 @@
 	if !r.vm.ledger.Knows(printOf(r.name).Head) {
 		r.vm.ledger.ServedUnsuspected(poison.Run{Target: u.id, Began: r.began, Ended: s.now}, requestOf(r.name))
 	} else if r.vm.ledger.Served(s.now, poison.Run{Print: printOf(r.name), Target: u.id, Began: r.began, Ended: s.now, Alone: r.trial != nil && r.trial.Alone}) {
-		s.after(poison.Outlives, func(time.Time) { s.probe(r.vm.ledger, u) })
+		s.after(poison.SurvivalTime, func(time.Time) { s.probe(r.vm.ledger, u) })
 	}
 	r.trial.Done()
 	s.served++
@@ -184,9 +184,9 @@
 // probe finds out for a VM whether an upstream has crashed.
 func (s *sim) probe(l *poison.Ledger, u *simUpstream) {
 	if u.down {
-		l.Ended(s.now, u.id)
+		l.Crashed(s.now, u.id)
 	} else {
-		l.NotEnded(s.now, u.id, true)
+		l.NotCrashed(s.now, u.id, true)
 	}
 }
 
@@ -213,8 +213,8 @@
 	vm := r.vm
 	if !vm.down {
 		run := poison.Run{Print: printOf(r.name), Target: u.id, Began: r.began, Ended: now, Alone: r.trial != nil && r.trial.Alone}
-		if vm.ledger.Broke(now, run) {
-			s.after(s.randomBetween(time.Millisecond, 120*time.Millisecond), func(now time.Time) { vm.ledger.Ended(now, u.id) })
+		if vm.ledger.ConnectionLost(now, run) {
+			s.after(s.randomBetween(time.Millisecond, 120*time.Millisecond), func(now time.Time) { vm.ledger.Crashed(now, u.id) })
 		}
 		r.trial.Done()
 		if s.rng.IntN(2) == 0 && r.retries > 0 { // The VM itself sends it to another upstream.
@@ -232,20 +232,20 @@
 			continue
 		}
 		vm.ledger.Tick(s.now)
-		if list := vm.ledger.Unkept(s.now, 0); len(list) > 0 {
+		if list := vm.ledger.Unpersisted(s.now, 0); len(list) > 0 {
 			s.platform = append(s.platform, list...)
 			vm.ledger.Kept(s.now, list)
 		}
 		news := vm.ledger.TakeNews()
 		for _, to := range s.vms {
 			if to != vm && s.rng.IntN(50) > 0 {
-				s.after(s.randomBetween(time.Millisecond, 80*time.Millisecond), func(now time.Time) { to.ledger.Told(now, news) })
+				s.after(s.randomBetween(time.Millisecond, 80*time.Millisecond), func(now time.Time) { to.ledger.MergeNews(now, news) })
 			}
 		}
 		other := s.vms[s.rng.IntN(len(s.vms))]
 		if other != vm && !other.down && s.rng.IntN(20) == 0 && other.ledger.Digest() != vm.ledger.Digest() {
-			all := other.ledger.All()
-			s.after(60*time.Millisecond, func(now time.Time) { vm.ledger.Told(now, all) })
+			all := other.ledger.Snapshot()
+			s.after(60*time.Millisecond, func(now time.Time) { vm.ledger.MergeNews(now, all) })
 		}
 	}
 	s.after(25*time.Millisecond, func(time.Time) { s.tick() })
@@ -256,8 +256,8 @@
 	vm.down = true
 	s.after(time.Second, func(now time.Time) {
 		vm.ledger, vm.down = poison.NewLedger(), false
-		vm.ledger.Recalled(now, s.platform)
-		vm.ledger.Told(now, s.vms[s.rng.IntN(len(s.vms))].ledger.All())
+		vm.ledger.Restore(now, s.platform)
+		vm.ledger.MergeNews(now, s.vms[s.rng.IntN(len(s.vms))].ledger.Snapshot())
 	})
 }
 
--- a/core/poison/helpers_test.go
+++ b/core/poison/helpers_test.go
@@ -23,16 +23,16 @@
 		trial, _ := l.Admit(at(ms-100), printOf(name))
 		run := poison.Run{Print: printOf(name), Target: target, Began: at(ms - 100), Ended: at(ms), Alone: trial != nil && trial.Alone}
 		trial.Done()
-		l.Broke(at(ms), run)
+		l.ConnectionLost(at(ms), run)
 	}
-	l.Ended(at(ms+20), target)
+	l.Crashed(at(ms+20), target)
 }
 
 // answerAndSurvive has a request answered whose run began 100 ms before, by an upstream that a
 // probe finds alive 100 ms later.
 func answerAndSurvive(l *poison.Ledger, ms int, name string) {
 	answer(l, ms, name)
-	l.NotEnded(at(ms+100), "lives", true)
+	l.NotCrashed(at(ms+100), "lives", true)
 }
 
 // answer has the upstream "lives" answer a request whose run began 100 ms before.
--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -29,14 +29,15 @@
 // # Usage
 //
 //	l := poison.NewLedger()
-//	trial, refused := l.Admit(now, print)       // Before each run; refused: not sent.
-//	probe := l.Broke(now, run)                  // Its connection was lost; probe the upstream.
-//	l.Ended(now, target)                        // It has crashed; NotEnded: it may not have.
-//	probe = l.Served(now, run)                  // It was answered; probe whether the upstream survives.
-//	l.ServedUnsuspected(run, req)               // The same, where l.Knows(head) is false.
+//	trial, refused := l.Admit(now, print)   // Before each run; refused: not sent.
+//	probe := l.ConnectionLost(now, run)     // Without a response; probe the upstream.
+//	l.Crashed(now, target)                  // Or l.NotCrashed, if the probe did not show a crash.
+//	probe = l.Served(now, run)              // It was answered; probe whether the upstream survives.
+//	l.ServedUnsuspected(run, req)           // The same, where l.Knows(head) is false.
 //	trial.Done()
-//	l.Tick(now)                                 // Decides on bans, and discards what has expired.
-//	send(l.TakeNews()); l.Told(now, received)   // Between VMs.
+//	l.Tick(now)                             // Decides on bans, and discards what has expired.
+//	send(l.TakeNews())                      // To other VMs.
+//	l.MergeNews(now, received)              // From other VMs.
 package poison
 
 import (
@@ -90,7 +91,7 @@
 	events      []Event
 	dropped     Dropped
 	notify      func()        // Called when there is news.
-	trialOffset Turn          // When this VM may start an exclusive trial.
+	trialOffset TrialOffset   // When this VM may start an exclusive trial.
 	synced      bool          // The bans that the platform stores have been merged.
 	syncDone    chan struct{} // Closed when synced.
 }
@@ -109,12 +110,12 @@
 // WithNews has f called, with the lock held, whenever TakeNews has something to return.
 func WithNews(f func()) Option { return func(l *Ledger) { l.notify = f } }
 
-// Turn returns when a VM may start an exclusive trial of a request, as a fraction of the time
-// over which the VMs stagger their trials. Each VM has a fraction of its own.
-type Turn func(now time.Time, p Print) float64
+// TrialOffset returns when a VM may start an exclusive trial of a request, as a fraction of the
+// time over which the VMs stagger their trials. Each VM has a fraction of its own.
+type TrialOffset func(now time.Time, p Print) float64
 
-// WithTurn has VMs that suspect a request try it one after the other.
-func WithTurn(f Turn) Option { return func(l *Ledger) { l.trialOffset = f } }
+// WithTrialOffset has VMs that suspect a request try it one after the other.
+func WithTrialOffset(f TrialOffset) Option { return func(l *Ledger) { l.trialOffset = f } }
 
 // NewLedger returns an empty Ledger.
 func NewLedger(opts ...Option) *Ledger {
--- a/core/poison/ledger_test.go
+++ b/core/poison/ledger_test.go
@@ -59,8 +59,8 @@
 func TestNobodyIsBannedWithoutATrial(t *testing.T) {
 	l := poison.NewLedger()
 	for i := range 5 {
-		l.Told(at(300*i), poison.News{Runs: []poison.Run{
-			{Print: printOf("popular"), Target: fmt.Sprint("i-", i), Began: at(300*i - 100), Ended: at(300 * i), Cut: true},
+		l.MergeNews(at(300*i), poison.News{Runs: []poison.Run{
+			{Print: printOf("popular"), Target: fmt.Sprint("i-", i), Began: at(300*i - 100), Ended: at(300 * i), ConnectionLost: true},
 		}})
 	}
 	l.Tick(at(3000))
@@ -82,7 +82,7 @@
 	for i := range 6 {
 		crash(l, 1000+5*i, fmt.Sprint("i-", i), "killer")
 	}
-	other.Told(at(1100), l.TakeNews())
+	other.MergeNews(at(1100), l.TakeNews())
 	sent := 0
 	for ms := 3000; ms < 9000; ms += 250 {
 		trial, refused := l.Admit(at(ms), printOf("killer"))
@@ -90,7 +90,7 @@
 			continue
 		}
 		trial.At(fmt.Sprint("j-", ms))
-		other.Told(at(ms+5), l.TakeNews())
+		other.MergeNews(at(ms+5), l.TakeNews())
 		sent++
 		if second, _ := l.Admit(at(ms+1), printOf("killer")); second != nil {
 			t.Fatal("a second run is forwarded while the first is in flight")
@@ -98,9 +98,9 @@
 		if second, _ := other.Admit(at(ms+10), printOf("killer")); second != nil {
 			t.Fatal("another VM forwards a run while the first is in flight")
 		}
-		l.Broke(at(ms+100), poison.Run{Print: printOf("killer"), Target: fmt.Sprint("j-", ms), Began: at(ms), Ended: at(ms + 100), Alone: trial.Alone})
-		l.Ended(at(ms+120), fmt.Sprint("j-", ms))
-		other.Told(at(ms+120), l.TakeNews())
+		l.ConnectionLost(at(ms+100), poison.Run{Print: printOf("killer"), Target: fmt.Sprint("j-", ms), Began: at(ms), Ended: at(ms + 100), Alone: trial.Alone})
+		l.Crashed(at(ms+120), fmt.Sprint("j-", ms))
+		other.MergeNews(at(ms+120), l.TakeNews())
 		trial.Done()
 	}
 	if sent > 2 {
@@ -129,8 +129,8 @@
 	}
 	answerAndSurvive(l, 2200, "a")
 	trial.Done()
-	l.Broke(at(2200), poison.Run{Print: printOf("killer"), Target: "i-8", Began: at(2100), Ended: at(2200), Alone: other.Alone})
-	l.Ended(at(2210), "i-8")
+	l.ConnectionLost(at(2200), poison.Run{Print: printOf("killer"), Target: "i-8", Began: at(2100), Ended: at(2200), Alone: other.Alone})
+	l.Crashed(at(2210), "i-8")
 	other.Done()
 	l.Tick(at(3000))
 	if !banned(l, 3000, "killer") || !admitted(l, 3000, "a") {
@@ -198,7 +198,7 @@
 	for i := range 1500 {
 		list = append(list, poison.Ban{Print: printOf(fmt.Sprint("b-", i)), At: at(i).UnixMilli()})
 	}
-	l.Told(at(2000), poison.News{Bans: list})
+	l.MergeNews(at(2000), poison.News{Bans: list})
 	if c := l.Counts(); c.Bans != 1000 || c.Dropped.Bans != 500 {
 		t.Errorf("1500 bans: %+v", c)
 	}
@@ -224,7 +224,7 @@
 // Guards against a wrong RetryAfter in the rejection of a banned request.
 func TestBanSaysWhenToRetry(t *testing.T) {
 	l := poison.NewLedger()
-	l.Recalled(at(0), []poison.Ban{{Print: printOf("killer"), At: at(0).UnixMilli()}})
+	l.Restore(at(0), []poison.Ban{{Print: printOf("killer"), At: at(0).UnixMilli()}})
 	_, refused := l.Admit(at(1000), printOf("killer"))
 	if refused == nil || refused.Verdict != verdict.NotRun || refused.Reason != verdict.ReasonQuarantined {
 		t.Fatalf("a banned request: %v", refused)
@@ -232,7 +232,7 @@
 	if !admitted(l, 1000+int(refused.RetryAfter.Milliseconds()), "killer") {
 		t.Error("it is still rejected after RetryAfter")
 	}
-	if len(l.Unkept(at(1000), 0)) != 0 {
+	if len(l.Unpersisted(at(1000), 0)) != 0 {
 		t.Error("a ban read from the platform counts as not stored there")
 	}
 }
--- a/core/poison/news.go
+++ b/core/poison/news.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Try reports the start or the end of an exclusive trial to other VMs.
-type Try struct {
+// TrialUpdate reports the start or the end of an exclusive trial to other VMs.
+type TrialUpdate struct {
 	Print Print
 	// Target is the ID of the upstream. It is empty if the trial is over without a result.
 	Target string
@@ -14,7 +14,7 @@
 	// Runs are runs during which the upstream crashed.
 	Runs []Run
 	// Tried are requests on trial, of which no other run may be forwarded.
-	Tried []Try
+	Tried []TrialUpdate
 	// Served are suspected requests that were answered.
 	Served []Clearance
 	Bans   []Ban
@@ -65,8 +65,8 @@
 	return n
 }
 
-// Told merges the news of another VM.
-func (l *Ledger) Told(now time.Time, n News) {
+// MergeNews merges the news of another VM.
+func (l *Ledger) MergeNews(now time.Time, n News) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range n.Runs {
@@ -85,7 +85,7 @@
 	l.mergePersisted(now, n.Kept)
 }
 
-func (l *Ledger) mergeTrial(now time.Time, t Try) {
+func (l *Ledger) mergeTrial(now time.Time, t TrialUpdate) {
 	s := l.suspects[t.Print]
 	switch {
 	case s == nil:
@@ -96,15 +96,15 @@
 	}
 }
 
-// Known reports whether the Ledger has the bans that the platform stores.
-func (l *Ledger) Known() bool {
+// Synced reports whether the Ledger has the bans that the platform stores.
+func (l *Ledger) Synced() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.synced
 }
 
-// Join records that it has them, from the platform or from another VM that has them.
-func (l *Ledger) Join() {
+// SetSynced records that it has them, from the platform or from another VM that has them.
+func (l *Ledger) SetSynced() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.synced {
@@ -113,12 +113,12 @@
 	}
 }
 
-// Joined returns a channel that is closed by Join.
-func (l *Ledger) Joined() <-chan struct{} { return l.syncDone }
+// SyncDone returns a channel that is closed by SetSynced.
+func (l *Ledger) SyncDone() <-chan struct{} { return l.syncDone }
 
-// All returns a snapshot for a VM that has just started. Crashes attributed to a ban are left
-// out, since the receiver could not attribute them: a ban does not list its crashes.
-func (l *Ledger) All() News {
+// Snapshot returns what a VM that has just started needs to know. Crashes attributed to a ban
+// are left out, since the receiver could not attribute them: a ban does not list its crashes.
+func (l *Ledger) Snapshot() News {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := News{Bans: l.allBans()}
--- a/core/poison/news_test.go
+++ b/core/poison/news_test.go
@@ -16,7 +16,7 @@
 			news := from.TakeNews()
 			for _, to := range vms {
 				if to != from {
-					to.Told(at(ms), news)
+					to.MergeNews(at(ms), news)
 				}
 			}
 		}
@@ -50,7 +50,7 @@
 func TestTwoVMsDoNotTryAtTheSameMoment(t *testing.T) {
 	vms := make([]*poison.Ledger, 2)
 	for i := range vms {
-		vms[i] = poison.NewLedger(poison.WithTurn(func(time.Time, poison.Print) float64 { return float64(i) / 2 }))
+		vms[i] = poison.NewLedger(poison.WithTrialOffset(func(time.Time, poison.Print) float64 { return float64(i) / 2 }))
 		crash(vms[i], 1000, "i-1", "killer")
 		crash(vms[i], 2000, "i-2", "killer")
 	}
@@ -80,14 +80,14 @@
 			Print: printOf("a"), Target: fmt.Sprint("i-", i), Began: at(300*(i+1) - 100), Ended: at(300 * (i + 1)), Alone: i == 2,
 		})
 	}
-	l.Told(at(1300), poison.News{Runs: runs})
+	l.MergeNews(at(1300), poison.News{Runs: runs})
 	l.Tick(at(2000))
 	if !banned(l, 2000, "killer") || banned(l, 2000, "a") {
 		t.Fatal("want a ban of the poison request alone")
 	}
 	late := poison.NewLedger()
-	late.Recalled(at(3000), l.Bans())
-	late.Told(at(3000), l.All())
+	late.Restore(at(3000), l.Bans())
+	late.MergeNews(at(3000), l.Snapshot())
 	late.Tick(at(4000))
 	if banned(late, 4000, "a") {
 		t.Error("the VM that starts later also bans the innocent request")
--- a/core/poison/print.go
+++ b/core/poison/print.go
@@ -40,11 +40,11 @@
 	if err != nil {
 		return Print{}, false
 	}
-	return PrintOf(data)
+	return PrintFromBytes(data)
 }
 
-// PrintOf decodes the result of Bytes. ok is false if the data is not a print.
-func PrintOf(data []byte) (p Print, ok bool) {
+// PrintFromBytes decodes the result of Bytes. ok is false if the data is not a print.
+func PrintFromBytes(data []byte) (p Print, ok bool) {
 	if len(data) != 8+sumSize {
 		return Print{}, false
 	}
--- a/core/poison/rival_test.go
+++ b/core/poison/rival_test.go
@@ -15,8 +15,8 @@
 	for i := range 5 {
 		target, ended := fmt.Sprint("i-", i), at(1000+30*i)
 		runs = append(runs,
-			poison.Run{Print: printOf("killer"), Target: target, Began: at(950), Ended: ended, Cut: true},
-			poison.Run{Print: printOf("popular"), Target: target, Began: at(1000 + 30*(i-1)), Ended: ended, Cut: true, Alone: i == 4},
+			poison.Run{Print: printOf("killer"), Target: target, Began: at(950), Ended: ended, ConnectionLost: true},
+			poison.Run{Print: printOf("popular"), Target: target, Began: at(1000 + 30*(i-1)), Ended: ended, ConnectionLost: true, Alone: i == 4},
 		)
 	}
 	return runs
@@ -26,7 +26,7 @@
 // of crashes, since only the popular one has consecutive crashes.
 func TestPopularRequestIsNotBannedForABurst(t *testing.T) {
 	l := poison.NewLedger()
-	l.Told(at(1200), poison.News{Runs: burst()})
+	l.MergeNews(at(1200), poison.News{Runs: burst()})
 	l.Tick(at(2000))
 	for _, name := range []string{"popular", "killer"} {
 		if banned(l, 2000, name) {
@@ -66,8 +66,8 @@
 				crash(l, 300*(i+1), fmt.Sprint("i-", i), "a")
 			}
 			l.Served(at(tt.answered), poison.Run{Print: printOf("a"), Target: "lives", Began: at(100), Ended: at(tt.answered)})
-			l.NotEnded(at(1100), "lives", true)
-			other.Told(at(1120), l.TakeNews())
+			l.NotCrashed(at(1100), "lives", true)
+			other.MergeNews(at(1120), l.TakeNews())
 			for i, l := range []*poison.Ledger{l, other} {
 				l.Tick(at(2000))
 				if got := banned(l, 2000, "a"); got != tt.banned {
@@ -90,7 +90,7 @@
 		l.ServedUnsuspected(poison.Run{Target: target, Began: at(ms - 80), Ended: at(ms - 20)}, requestOf("popular"))
 		crash(l, ms, target, fmt.Sprint("other-", i))
 	}
-	l.Told(at(2300), poison.News{Runs: []poison.Run{{Print: printOf("popular"), Target: "i-9", Began: at(2150), Ended: at(2250), Cut: true, Alone: true}}})
+	l.MergeNews(at(2300), poison.News{Runs: []poison.Run{{Print: printOf("popular"), Target: "i-9", Began: at(2150), Ended: at(2250), ConnectionLost: true, Alone: true}}})
 	l.Tick(at(3000))
 	if banned(l, 3000, "popular") {
 		t.Error("a request with one crash in an exclusive trial, and responses before four other crashes, is banned")
--- a/core/poison/runs.go
+++ b/core/poison/runs.go
@@ -35,8 +35,8 @@
 	Began, Ended time.Time
 	// Alone says that it was an exclusive trial, see Trial.Alone.
 	Alone bool
-	// Cut says that its connection was lost, rather than that it was abandoned.
-	Cut bool
+	// ConnectionLost says that its connection was lost, rather than that it was abandoned.
+	ConnectionLost bool
 	// Answered says that the upstream crashed right after it responded.
 	Answered bool
 }
@@ -73,7 +73,7 @@
 func (u *upstreamRuns) firstSign(now time.Time) time.Time {
 	first := now
 	for _, r := range slices.Concat(u.broken, u.abandoned) {
-		if r.Cut && r.Ended.Before(first) {
+		if r.ConnectionLost && r.Ended.Before(first) {
 			first = r.Ended
 		}
 	}
@@ -122,13 +122,13 @@
 	}
 }
 
-// Broke records that a request's connection was lost before a response. probe reports whether
-// the caller has to probe whether the upstream has crashed: a connection may also fail by
-// itself, or because the upstream mishandles a single response.
-func (l *Ledger) Broke(now time.Time, r Run) (probe bool) {
+// ConnectionLost records that a request's connection was lost before a response. probe reports
+// whether the caller has to probe whether the upstream has crashed: a connection may also fail
+// by itself, or because the upstream mishandles a single response.
+func (l *Ledger) ConnectionLost(now time.Time, r Run) (probe bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r.Cut = true
+	r.ConnectionLost = true
 	u := l.upstream(now, r.Target)
 	if u.crashed {
 		l.implicateLate(now, u, r)
@@ -178,24 +178,24 @@
 	u.broken = slices.DeleteFunc(u.broken, survived)
 	for _, list := range [][]Run{u.abandoned, u.broken} {
 		for i := range list {
-			list[i].Cut = list[i].Cut && !list[i].Ended.Before(began)
+			list[i].ConnectionLost = list[i].ConnectionLost && !list[i].Ended.Before(began)
 		}
 	}
 }
 
-// Unanswered reports whether an upstream has abandoned runs that it is not known to have
+// HasAbandoned reports whether an upstream has abandoned runs that it is not known to have
 // survived.
-func (l *Ledger) Unanswered(now time.Time, target string) bool {
+func (l *Ledger) HasAbandoned(now time.Time, target string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	u := l.upstreams[target]
 	return u != nil && !u.crashed && len(l.upstream(now, target).abandoned) > 0
 }
 
-// Ended records that an incarnation of an upstream has crashed. It returns the runs that were
+// Crashed records that an incarnation of an upstream has crashed. It returns the runs that were
 // in flight at the crash, as far as this VM knows them and has not returned them before. Runs
 // that are reported later also count as in flight, as do runs that were answered just before.
-func (l *Ledger) Ended(now time.Time, target string) []Run {
+func (l *Ledger) Crashed(now time.Time, target string) []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	u := l.upstream(now, target)
@@ -226,11 +226,11 @@
 	}
 }
 
-// NotEnded records that a probe did not show a crash: connections are accepted at the
+// NotCrashed records that a probe did not show a crash: connections are accepted at the
 // upstream's address (alive), or nobody responds there. Broken runs are kept as abandoned until
 // the upstream responds to some request, since another process may accept connections at its
 // address now. If alive, unconfirmed responses clear their requests.
-func (l *Ledger) NotEnded(now time.Time, target string, alive bool) {
+func (l *Ledger) NotCrashed(now time.Time, target string, alive bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if alive {
@@ -243,7 +243,7 @@
 	}
 	u = l.upstream(now, target)
 	for _, r := range u.broken {
-		r.Cut = r.Cut && !alive
+		r.ConnectionLost = r.ConnectionLost && !alive
 		u.abandoned, _ = appendRun(u.abandoned, r)
 	}
 	u.broken, u.probing = nil, false
--- a/core/poison/runs_test.go
+++ b/core/poison/runs_test.go
@@ -12,9 +12,9 @@
 	l := poison.NewLedger()
 	for i := range 3 {
 		target := fmt.Sprint("i-", i)
-		l.Broke(at(1000*i+100), poison.Run{Print: printOf("killer"), Target: target, Began: at(1000 * i), Ended: at(1000*i + 100)})
-		l.Broke(at(1000*i+510), poison.Run{Print: printOf("a"), Target: target, Began: at(1000*i + 500), Ended: at(1000*i + 510), Alone: true})
-		l.Ended(at(1000*i+900), target)
+		l.ConnectionLost(at(1000*i+100), poison.Run{Print: printOf("killer"), Target: target, Began: at(1000 * i), Ended: at(1000*i + 100)})
+		l.ConnectionLost(at(1000*i+510), poison.Run{Print: printOf("a"), Target: target, Began: at(1000*i + 500), Ended: at(1000*i + 510), Alone: true})
+		l.Crashed(at(1000*i+900), target)
 	}
 	l.Tick(at(5000))
 	if trial, refused := l.Admit(at(5000), printOf("a")); trial != nil || refused != nil {
@@ -27,12 +27,12 @@
 	l := poison.NewLedger()
 	for i := range 5 {
 		target := fmt.Sprint("i-", i)
-		if !l.Broke(at(200*i), poison.Run{Print: printOf("a"), Target: target, Began: at(200*i - 100), Ended: at(200 * i)}) {
+		if !l.ConnectionLost(at(200*i), poison.Run{Print: printOf("a"), Target: target, Began: at(200*i - 100), Ended: at(200 * i)}) {
 			t.Fatal("no probe of the upstream is asked for")
 		}
-		l.NotEnded(at(200*i+20), target, true)
+		l.NotCrashed(at(200*i+20), target, true)
 		l.Answered(at(200*i+900), at(200*i-50), target)
-		l.Ended(at(200*i+950), target)
+		l.Crashed(at(200*i+950), target)
 	}
 	if l.Knows(printOf("a").Head) {
 		t.Error("a request is suspected though no upstream crashed")
@@ -50,7 +50,7 @@
 			Print: printOf("killer"), Target: target, Began: at(1000 * i), Ended: at(1000*i + 100), Alone: trial != nil && trial.Alone,
 		})
 		trial.Done()
-		if runs := l.Ended(at(1000*i+600), target); len(runs) != 1 {
+		if runs := l.Crashed(at(1000*i+600), target); len(runs) != 1 {
 			t.Fatalf("%d runs were in flight at the crash, want 1", len(runs))
 		}
 	}
@@ -66,7 +66,7 @@
 	l.Left(at(100), poison.Run{Print: printOf("a"), Target: "i-1", Began: at(0), Ended: at(100)})
 	l.Left(at(1300), poison.Run{Print: printOf("b"), Target: "i-1", Began: at(900), Ended: at(1300)})
 	l.Answered(at(1400), at(50), "i-1")
-	if runs := l.Ended(at(1500), "i-1"); len(runs) != 1 || runs[0].Print != printOf("b") {
+	if runs := l.Crashed(at(1500), "i-1"); len(runs) != 1 || runs[0].Print != printOf("b") {
 		t.Errorf("%d runs were in flight at the crash, want only the last", len(runs))
 	}
 }
@@ -76,12 +76,12 @@
 	for name, survives := range map[string]func(l *poison.Ledger, ms int, target string){
 		"it answers another late":    func(l *poison.Ledger, ms int, target string) { l.Answered(at(ms+550), at(ms-50), target) },
 		"it answers a later one":     func(l *poison.Ledger, ms int, target string) { l.Answered(at(ms+10), at(ms), target) },
-		"it keeps a connection open": func(l *poison.Ledger, ms int, target string) { l.NotEnded(at(ms), target, true) },
+		"it keeps a connection open": func(l *poison.Ledger, ms int, target string) { l.NotCrashed(at(ms), target, true) },
 	} {
 		l := poison.NewLedger()
 		for i := range 3 {
 			ms, target := 1000*i, fmt.Sprint("i-", i)
-			l.Broke(at(ms+50), poison.Run{Print: printOf(fmt.Sprint("lost-", i)), Target: target, Began: at(ms), Ended: at(ms + 50)})
+			l.ConnectionLost(at(ms+50), poison.Run{Print: printOf(fmt.Sprint("lost-", i)), Target: target, Began: at(ms), Ended: at(ms + 50)})
 			survives(l, ms+80, target)
 			crash(l, ms+700, target, "killer")
 		}
@@ -98,11 +98,11 @@
 	for i := range 3 {
 		ms, target := 1000*i, fmt.Sprint("i-", i)
 		trial, _ := l.Admit(at(ms), printOf("killer"))
-		cause := poison.Run{Print: printOf("killer"), Target: target, Began: at(ms), Ended: at(ms + 50), Alone: trial != nil && trial.Alone, Cut: true}
+		cause := poison.Run{Print: printOf("killer"), Target: target, Began: at(ms), Ended: at(ms + 50), Alone: trial != nil && trial.Alone, ConnectionLost: true}
 		trial.Done()
-		later := poison.Run{Print: printOf("killer"), Target: target, Began: at(ms + 200), Ended: at(ms + 201), Cut: true}
-		l.Told(at(ms+300), poison.News{Runs: []poison.Run{later}})
-		l.Told(at(ms+310), poison.News{Runs: []poison.Run{cause}})
+		later := poison.Run{Print: printOf("killer"), Target: target, Began: at(ms + 200), Ended: at(ms + 201), ConnectionLost: true}
+		l.MergeNews(at(ms+300), poison.News{Runs: []poison.Run{later}})
+		l.MergeNews(at(ms+310), poison.News{Runs: []poison.Run{cause}})
 	}
 	l.Tick(at(5000))
 	if !banned(l, 5000, "killer") {
--- a/core/poison/suspect.go
+++ b/core/poison/suspect.go
@@ -224,7 +224,7 @@
 // announce reports to other VMs at which upstream the trial runs, or with an empty target that
 // it is over without a result.
 func (t *Trial) announce(target string) {
-	t.ledger.queueNews(func(n *News) { n.Tried = append(n.Tried, Try{t.print, target}) })
+	t.ledger.queueNews(func(n *News) { n.Tried = append(n.Tried, TrialUpdate{t.print, target}) })
 }
 
 // Done ends the trial. Its result has to be recorded before.
--- a/core/poison/unsuspected.go
+++ b/core/poison/unsuspected.go
@@ -7,7 +7,7 @@
 
 const (
 	// maxUnsuspected bounds the answered runs that are kept: several times those that a VM
-	// has within Outlives.
+	// has within SurvivalTime.
 	maxUnsuspected = 512
 	// maxKeptBody bounds the bodies of the requests that are kept with them, in bytes.
 	maxKeptBody = 4 << 10
@@ -53,11 +53,11 @@
 }
 
 // takeUnsuspected removes the runs of an upstream, and returns those that it answered within
-// Outlives before first, the first sign of its crash.
+// SurvivalTime before first, the first sign of its crash.
 func (l *Ledger) takeUnsuspected(target string, first time.Time) []Run {
 	var runs []Run
 	for _, r := range l.unsuspected {
-		if r.Target == target && first.Sub(r.Ended) < Outlives {
+		if r.Target == target && first.Sub(r.Ended) < SurvivalTime {
 			r.Print = r.req.Print()
 			runs = append(runs, r.Run)
 		}
--- a/core/watch/example_test.go
+++ b/core/watch/example_test.go
@@ -9,9 +9,9 @@
 
 func ExampleFirst() {
 	vms := []watch.VM{
-		{Name: "north-1", Trip: time.Millisecond},
-		{Name: "north-2", Trip: 2 * time.Millisecond},
-		{Name: "south-1", Trip: 110 * time.Millisecond},
+		{Name: "north-1", RTT: time.Millisecond},
+		{Name: "north-2", RTT: 2 * time.Millisecond},
+		{Name: "south-1", RTT: 110 * time.Millisecond},
 	}
 	for _, name := range watch.First(vms, 2) {
 		fmt.Println(name)
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -42,8 +42,8 @@
 // VM is a candidate for reader.
 type VM struct {
 	Name string
-	// Trip is the round trip to the platform, 0 if unknown.
-	Trip time.Duration
+	// RTT is the round trip to the platform, 0 if unknown.
+	RTT time.Duration
 	// Cores is the processor time per second, in seconds of a usual core, 0 if unknown.
 	Cores float64
 }
@@ -74,11 +74,11 @@
 func tiers(vms []VM) [3][]string {
 	var nearest time.Duration
 	for _, vm := range vms {
-		if vm.Trip > 0 && (nearest == 0 || vm.Trip < nearest) {
-			nearest = vm.Trip
+		if vm.RTT > 0 && (nearest == 0 || vm.RTT < nearest) {
+			nearest = vm.RTT
 		}
 	}
-	near := func(vm VM) bool { return vm.Trip > 0 && vm.Trip <= nearFactor*nearest+nearSlack }
+	near := func(vm VM) bool { return vm.RTT > 0 && vm.RTT <= nearFactor*nearest+nearSlack }
 	maxCores := 0.0
 	for _, vm := range vms {
 		if near(vm) {
--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -17,7 +17,7 @@
 		if i%3 == 0 {
 			rtt = near + time.Duration(i)*time.Microsecond
 		}
-		vms[i] = watch.VM{Name: fmt.Sprint("vm", i), Trip: rtt}
+		vms[i] = watch.VM{Name: fmt.Sprint("vm", i), RTT: rtt}
 	}
 	return vms
 }
@@ -41,7 +41,7 @@
 		if tc.near == 0 {
 			for i := range vms {
 				if i%3 == 0 {
-					vms[i].Trip = 0
+					vms[i].RTT = 0
 				}
 			}
 		}
@@ -50,7 +50,7 @@
 			t.Fatalf("%s: readers are %v, want two", tc.name, first)
 		}
 		for _, vm := range vms {
-			if i := slices.Index(first, vm.Name); i >= 0 && tc.only && vm.Trip == tc.far {
+			if i := slices.Index(first, vm.Name); i >= 0 && tc.only && vm.RTT == tc.far {
 				t.Errorf("%s: %s is a reader and is far away", tc.name, vm.Name)
 			}
 		}
@@ -68,8 +68,8 @@
 			t.Errorf("%s and %s both have rank %d", other, vm.Name, rank)
 		}
 		byRank[rank] = vm.Name
-		if near := rank < 14; near != (vm.Trip < 50*time.Millisecond) {
-			t.Errorf("%s with a round trip of %v has rank %d", vm.Name, vm.Trip, rank)
+		if near := rank < 14; near != (vm.RTT < 50*time.Millisecond) {
+			t.Errorf("%s with a round trip of %v has rank %d", vm.Name, vm.RTT, rank)
 		}
 	}
 	if first := watch.First(vms, 2); first[0] != byRank[0] || first[1] != byRank[1] {
@@ -99,7 +99,7 @@
 		}
 	}
 	for _, vm := range vms {
-		near, strong := vm.Trip < 50*time.Millisecond, vm.Cores > 0.5
+		near, strong := vm.RTT < 50*time.Millisecond, vm.Cores > 0.5
 		rank := watch.Before(vms, vm.Name)
 		if want := near && strong; (rank < 10) != want {
 			t.Errorf("%s (near %v, strong %v) has rank %d", vm.Name, near, strong, rank)
--- a/io/entry/serve.go
+++ b/io/entry/serve.go
@@ -151,11 +151,11 @@
 // and for the bans, which a request that ends upstreams would else get past.
 func (v *VM) awaitCopies(ctx context.Context, now time.Time) {
 	left := holdAtStart - now.Sub(v.started)
-	if left <= 0 || v.table.Load() != nil && v.targets.known() && v.guard.Ledger().Known() {
+	if left <= 0 || v.table.Load() != nil && v.targets.known() && v.guard.Ledger().Synced() {
 		return
 	}
 	timeout := time.After(left)
-	for _, known := range []<-chan struct{}{v.loaded, v.guard.Ledger().Joined()} {
+	for _, known := range []<-chan struct{}{v.loaded, v.guard.Ledger().SyncDone()} {
 		select {
 		case <-known:
 		case <-ctx.Done():
--- a/io/entry/start_test.go
+++ b/io/entry/start_test.go
@@ -31,7 +31,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				v := New(&settings.Entry{Name: "a"}, nil, Protocol{}, logrus.NewEntry(logrus.New()))
 				time.AfterFunc(tc.loaded, func() { close(v.loaded) })
-				time.AfterFunc(tc.bans, v.guard.Ledger().Join)
+				time.AfterFunc(tc.bans, v.guard.Ledger().SetSynced)
 				<-time.After(tc.after)
 				began := time.Now()
 				v.awaitCopies(context.Background(), began)
--- a/io/entry/watchers.go
+++ b/io/entry/watchers.go
@@ -78,9 +78,9 @@
 // zoneVMs are the live VMs of this VM's zone, itself included, all as near to the platform.
 func (v *VM) zoneVMs(now time.Time) []watch.VM {
 	cfg := v.cfg.Load()
-	list := []watch.VM{{Name: cfg.Name, Trip: 1, Cores: cfg.Capacity.Cores}}
+	list := []watch.VM{{Name: cfg.Name, RTT: 1, Cores: cfg.Capacity.Cores}}
 	for _, vm := range v.zoneMates(now) {
-		list = append(list, watch.VM{Name: vm.Name, Trip: 1, Cores: vm.Capacity.Cores})
+		list = append(list, watch.VM{Name: vm.Name, RTT: 1, Cores: vm.Capacity.Cores})
 	}
 	return list
 }
@@ -111,7 +111,7 @@
 		if !byTrip {
 			trip = 0
 		}
-		list = append(list, watch.VM{Name: name, Trip: trip, Cores: cores})
+		list = append(list, watch.VM{Name: name, RTT: trip, Cores: cores})
 	}
 	for _, m := range mates {
 		if m.State == member.Live {
--- a/io/peer/datagram.go
+++ b/io/peer/datagram.go
@@ -40,18 +40,18 @@
 	Join()
 }
 
-// PoisonTable is what a VM knows of requests that end upstreams.
+// PoisonTable is what a VM knows of requests that crash upstreams.
 type PoisonTable interface {
-	// Told takes in what another VM knows.
-	Told(now time.Time, n poison.News)
-	// All returns what a VM that has just started should know.
-	All() poison.News
+	// MergeNews merges what another VM knows.
+	MergeNews(now time.Time, n poison.News)
+	// Snapshot returns what a VM that has just started needs to know.
+	Snapshot() poison.News
 	// Digest stands for all bans; 0: there are none.
 	Digest() uint64
-	// Known reports whether the bans that the platform keeps are known, and Join takes
-	// in that another VM which knows them has told them.
-	Known() bool
-	Join()
+	// Synced reports whether the bans that the platform stores have been merged, and
+	// SetSynced records that another VM which has them has sent them.
+	Synced() bool
+	SetSynced()
 }
 
 // LimitTable is what a VM knows of the demand of teams with limits.
@@ -187,14 +187,14 @@
 }
 
 func (d *Datagrams) takePoison(from netip.AddrPort, m *schema.PoisonNews) {
-	d.poison.Told(time.Now(), wire.Poison(time.Now(), m))
+	d.poison.MergeNews(time.Now(), wire.Poison(time.Now(), m))
 	if m.GetAnswer() {
-		d.poison.Join()
+		d.poison.SetSynced()
 	}
 	differs := m.GetDigest() != 0 && m.GetDigest() != d.poison.Digest()
 	if m.GetAsk() || differs {
-		d.tellPoison(from, d.poison.All())
-		d.send(from, &schema.Datagram{Poison: &schema.PoisonNews{Answer: m.GetAsk() && d.poison.Known(), Ask: differs}})
+		d.tellPoison(from, d.poison.Snapshot())
+		d.send(from, &schema.Datagram{Poison: &schema.PoisonNews{Answer: m.GetAsk() && d.poison.Synced(), Ask: differs}})
 	}
 }
 
--- a/io/quarantine/bans.go
+++ b/io/quarantine/bans.go
@@ -64,14 +64,14 @@
 		return
 	}
 	k.recalled = true
-	g.ledger.Recalled(time.Now(), bans)
-	g.ledger.Join()
+	g.ledger.Restore(time.Now(), bans)
+	g.ledger.SetSynced()
 }
 
 // recallDue reports whether bans should be read, and how often.
 func (k *banKeeper) recallDue(now time.Time) (every time.Duration, due bool) {
 	g := k.guard
-	k.recalled = k.recalled || g.ledger.Known()
+	k.recalled = k.recalled || g.ledger.Synced()
 	switch {
 	case !k.recalled:
 		return recallEvery, true
@@ -119,7 +119,7 @@
 	if !g.first(g.fleet.ZoneLive(now)) {
 		wait, every = othersKeep, othersTryEvery
 	}
-	list := g.ledger.Unkept(now, wait)
+	list := g.ledger.Unpersisted(now, wait)
 	if len(list) == 0 || now.Sub(k.keptAt) < every {
 		return
 	}
--- a/io/quarantine/doc.go
+++ b/io/quarantine/doc.go
@@ -89,12 +89,12 @@
 // New returns a Guard for the VM of a name. It knows of no bans.
 func New(self string, f Fleet, k Keeper, p Prober, log *logrus.Entry, opts ...Option) *Guard {
 	g := &Guard{self: self, fleet: f, keeper: k, prober: p, log: log, news: make(chan struct{}, 1), started: time.Now(), onEnd: func(Upstream) {}}
-	g.ledger = poison.NewLedger(poison.WithNews(g.signal), poison.WithTurn(g.turn))
+	g.ledger = poison.NewLedger(poison.WithNews(g.signal), poison.WithTrialOffset(g.turn))
 	for _, opt := range opts {
 		opt(g)
 	}
 	if g.firstStart {
-		g.ledger.Join()
+		g.ledger.SetSynced()
 	}
 	return g
 }
@@ -151,6 +151,6 @@
 	}
 	run.Print = req.Print()
 	if g.ledger.Served(now, run) {
-		g.probes.Start(ctx, (&endProbe{guard: g, upstream: a.Upstream, after: poison.Outlives}).run)
+		g.probes.Start(ctx, (&endProbe{guard: g, upstream: a.Upstream, after: poison.SurvivalTime}).run)
 	}
 }
--- a/io/quarantine/ends.go
+++ b/io/quarantine/ends.go
@@ -59,7 +59,7 @@
 		}
 	case connectionEnded(e.Err):
 		run.Print = req.Print()
-		if g.ledger.Broke(now, run) {
+		if g.ledger.ConnectionLost(now, run) {
 			g.probe(ctx, a.Upstream, false)
 		}
 	}
@@ -81,7 +81,7 @@
 
 // ended takes in that an upstream has ended, and logs what was under way there.
 func (g *Guard) ended(now time.Time, u Upstream) {
-	runs := g.ledger.Ended(now, u.ID)
+	runs := g.ledger.Crashed(now, u.ID)
 	g.onEnd(u)
 	if len(runs) == 0 {
 		return
@@ -106,7 +106,7 @@
 		switch {
 		case taken[u.Addr]:
 			g.ended(now, u)
-		case g.ledger.Unanswered(now, u.ID):
+		case g.ledger.HasAbandoned(now, u.ID):
 			g.probe(ctx, u, true)
 		}
 	}
@@ -140,7 +140,7 @@
 			g.ended(time.Now(), p.upstream)
 			return
 		case upstream.Listens:
-			g.ledger.NotEnded(time.Now(), p.upstream.ID, true)
+			g.ledger.NotCrashed(time.Now(), p.upstream.ID, true)
 			return
 		case upstream.Unknown:
 		}
@@ -152,5 +152,5 @@
 		g.ended(time.Now(), p.upstream)
 		return
 	}
-	g.ledger.NotEnded(time.Now(), p.upstream.ID, false)
+	g.ledger.NotCrashed(time.Now(), p.upstream.ID, false)
 }
--- a/io/wire/poison.go
+++ b/io/wire/poison.go
@@ -16,7 +16,7 @@
 func Poison(now time.Time, m *schema.PoisonNews) poison.News {
 	n := poison.News{Bans: bans(m.GetBans()), Kept: bans(m.GetKept())}
 	for _, r := range m.GetRuns() {
-		p, ok := poison.PrintOf(r.GetPrint())
+		p, ok := poison.PrintFromBytes(r.GetPrint())
 		began, ended := ago(r.GetBeganAgoMillis()), ago(r.GetEndedAgoMillis())
 		if !ok || r.GetTarget() == "" || began < ended {
 			continue
@@ -24,12 +24,12 @@
 		n.Runs = append(n.Runs, poison.Run{Print: p, Target: r.GetTarget(), Began: now.Add(-began), Ended: now.Add(-ended), Alone: r.GetAlone(), Answered: r.GetAnswered()})
 	}
 	for _, t := range m.GetTried() {
-		if p, ok := poison.PrintOf(t.GetPrint()); ok {
-			n.Tried = append(n.Tried, poison.Try{Print: p, Target: t.GetTarget()})
+		if p, ok := poison.PrintFromBytes(t.GetPrint()); ok {
+			n.Tried = append(n.Tried, poison.TrialUpdate{Print: p, Target: t.GetTarget()})
 		}
 	}
 	for _, c := range m.GetServed() {
-		if p, ok := poison.PrintOf(c.GetPrint()); ok {
+		if p, ok := poison.PrintFromBytes(c.GetPrint()); ok {
 			n.Served = append(n.Served, poison.Clearance{Print: p, Began: now.Add(-ago(c.GetBeganAgoMillis())), Answered: now.Add(-ago(c.GetAnsweredAgoMillis()))})
 		}
 	}
@@ -43,7 +43,7 @@
 func bans(list []*schema.PoisonBan) []poison.Ban {
 	var out []poison.Ban
 	for _, b := range list {
-		if p, ok := poison.PrintOf(b.GetPrint()); ok {
+		if p, ok := poison.PrintFromBytes(b.GetPrint()); ok {
 			out = append(out, poison.Ban{Print: p, At: b.GetAt(), Lifted: b.GetLifted()})
 		}
 	}
--- a/io/wire/poison_test.go
+++ b/io/wire/poison_test.go
@@ -20,7 +20,7 @@
 	ban := poison.Ban{Print: poisonPrint("/b"), At: 1234, Lifted: true}
 	news := poison.News{
 		Runs:   []poison.Run{{Print: poisonPrint("/a"), Target: "i-1@7", Began: sent.Add(-300 * time.Millisecond), Ended: sent.Add(-100 * time.Millisecond), Alone: true, Answered: true}},
-		Served: []poison.Clearance{{Print: poisonPrint("/c"), Began: sent.Add(-200 * time.Millisecond), Answered: sent.Add(-150 * time.Millisecond)}}, Tried: []poison.Try{{Print: poisonPrint("/d"), Target: "i-2"}},
+		Served: []poison.Clearance{{Print: poisonPrint("/c"), Began: sent.Add(-200 * time.Millisecond), Answered: sent.Add(-150 * time.Millisecond)}}, Tried: []poison.TrialUpdate{{Print: poisonPrint("/d"), Target: "i-2"}},
 		Bans: []poison.Ban{ban}, Kept: []poison.Ban{ban},
 	}
 	got := wire.Poison(arrived, wire.FromPoison(sent, news))
@@ -49,7 +49,7 @@
 			return
 		}
 		l := poison.NewLedger()
-		l.Told(start, wire.Poison(start, &m))
+		l.MergeNews(start, wire.Poison(start, &m))
 		l.Tick(start.Add(time.Second))
 		for _, b := range l.Bans() {
 			if _, refused := l.Admit(start.Add(time.Second), b.Print); refused != nil && refused.RetryAfter > 25*time.Hour {
