--- a/cmd/auburnlatch/show.go
+++ b/cmd/auburnlatch/show.go
@@ -49,7 +49,7 @@
 		if !strings.EqualFold(string(s.Kind), c.Kind) || (c.Name != "" && s.Name != c.Name) {
 			continue
 		}
-		if part, err = part.Install(inventory.Change{Based: part.Version, Ops: []inventory.Op{op}}); err != nil {
+		if part, err = part.ApplyUnchecked(inventory.Change{Based: part.Version, Ops: []inventory.Op{op}}); err != nil {
 			return err
 		}
 	}
--- a/core/dispatch/holding.go
+++ b/core/dispatch/holding.go
@@ -6,8 +6,8 @@
 	"auburnlatch/core/inventory"
 )
 
-// MateView is the last known state of another VM of the zone.
-type MateView struct {
+// PeerView is the last known state of another VM of the zone.
+type PeerView struct {
 	VM string
 	// Held is the number of slots that the peer holds or intends to hold, by
 	// target.
@@ -29,15 +29,15 @@
 	// Live are the names of the zone's VMs that may dispatch, including this
 	// one unless it is leaving.
 	Live []string
-	// Mates are all other VMs of the zone ever known, including those whose
+	// Peers are all other VMs of the zone ever known, including those whose
 	// heartbeats are missing.
-	Mates []MateView
+	Peers []PeerView
 	// Seq is the sequence number of the publication that will carry the slots
 	// returned by this Tick.
 	Seq uint64
-	// Fresh reports that the VM knows its zone: it has received the state of
+	// Synced reports that the VM knows its zone: it has received the state of
 	// its peers, or knows that it has none. Until then it takes no slots.
-	Fresh bool
+	Synced bool
 	// Drained are the targets that get no new requests.
 	Drained map[string]bool
 }
@@ -69,7 +69,7 @@
 // has acknowledged it takes it into account when it grows itself. A peer that
 // grew before shows its new slots in the same entry that carries its
 // acknowledgement.
-func (a *allocation) resize(want int, peers []MateView, seq uint64) {
+func (a *allocation) resize(want int, peers []PeerView, seq uint64) {
 	if want <= a.inForce {
 		a.inForce, a.intent = want, want
 		return
@@ -91,7 +91,7 @@
 }
 
 // allAcked reports whether every peer that may hold slots has acknowledged seq.
-func allAcked(peers []MateView, seq uint64) bool {
+func allAcked(peers []PeerView, seq uint64) bool {
 	for _, p := range peers {
 		if !p.Gone && p.Acked < seq {
 			return false
--- a/core/dispatch/pool.go
+++ b/core/dispatch/pool.go
@@ -51,10 +51,10 @@
 		index := slices.Index(s.dispatchers, p.self)
 		for _, a := range s.allocations {
 			want := 0
-			if v.Fresh && !a.drained {
+			if v.Synced && !a.drained {
 				want = Share(a.target.Name, a.target.Slots, len(s.dispatchers), index)
 			}
-			a.resize(want, v.Mates, v.Seq)
+			a.resize(want, v.Peers, v.Seq)
 		}
 	}
 	for name, a := range p.allocations {
@@ -205,9 +205,9 @@
 	}
 }
 
-// Probed records the health of an upstream as reported by a probe, by the
+// ReportHealth records the health of an upstream as reported by a probe, by the
 // upstream itself or by a peer.
-func (p *Pool) Probed(now time.Time, target string, state Health) {
+func (p *Pool) ReportHealth(now time.Time, target string, state Health) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if a := p.allocations[target]; a != nil {
--- a/core/dispatch/pool_prop_test.go
+++ b/core/dispatch/pool_prop_test.go
@@ -95,10 +95,10 @@
 	synced := vm.table.Fresh(now, propHold)
 	view := dispatch.View{
 		Targets: propTargets, Services: propRules, Live: vm.table.Dispatching(now, synced),
-		Seq: vm.table.NextSeq(), Fresh: synced,
+		Seq: vm.table.NextSeq(), Synced: synced,
 	}
 	for _, m := range vm.table.Mates(now) {
-		view.Mates = append(view.Mates, dispatch.MateView{
+		view.Peers = append(view.Peers, dispatch.PeerView{
 			VM: m.VM.Name, Held: m.VM.Held, Acked: m.VM.Acks[vm.name], Gone: m.State == member.Gone,
 		})
 	}
--- a/core/dispatch/pool_test.go
+++ b/core/dispatch/pool_test.go
@@ -22,7 +22,7 @@
 
 // alone returns the view of a VM that is the only one of its zone.
 func alone(seq uint64, targets ...*inventory.Target) View {
-	return View{Targets: targets, Services: []*inventory.Service{istoric}, Live: []string{"a"}, Seq: seq, Fresh: true}
+	return View{Targets: targets, Services: []*inventory.Service{istoric}, Live: []string{"a"}, Seq: seq, Synced: true}
 }
 
 // newPool returns a pool that has all slots of the targets in force at time 1.
@@ -84,7 +84,7 @@
 		t.Errorf("Queue of a paused VM = %v, want NotRun", err)
 	}
 	view := alone(3, four)
-	view.Fresh = false
+	view.Synced = false
 	if held := p.Tick(at(60), view); len(held) != 0 {
 		t.Errorf("after the pause the VM still holds %v", held)
 	}
@@ -94,7 +94,7 @@
 // flight go on.
 func TestLeavingUpstreamGetsNothingNew(t *testing.T) {
 	p := newPool(four, three)
-	p.Probed(at(1), "t4", Leaving)
+	p.ReportHealth(at(1), "t4", Leaving)
 	for _, name := range offers(p, at(1)) {
 		if name == "t4" {
 			t.Fatalf("a leaving upstream got a request")
@@ -107,13 +107,13 @@
 // it.
 func TestDownIsIgnoredWhenMostUpstreamsAreDown(t *testing.T) {
 	p := newPool(four, three)
-	p.Probed(at(1), "t4", Down)
+	p.ReportHealth(at(1), "t4", Down)
 	if got := len(offers(p, at(1))); got != 3 {
 		t.Errorf("with one of two upstreams down: %d slots, want 3", got)
 	}
 	p = newPool(four, three)
-	p.Probed(at(1), "t4", Down)
-	p.Probed(at(1), "t3", Down)
+	p.ReportHealth(at(1), "t4", Down)
+	p.ReportHealth(at(1), "t3", Down)
 	if got := len(offers(p, at(1))); got != 7 {
 		t.Errorf("with both upstreams down: %d slots, want 7", got)
 	}
@@ -123,7 +123,7 @@
 // callers sent there would wait.
 func TestColdUpstreamWarmsUp(t *testing.T) {
 	p := newPool(four)
-	p.Probed(at(1), "t4", Cold)
+	p.ReportHealth(at(1), "t4", Cold)
 	if got := len(offers(p, at(1.1))); got != 1 {
 		t.Errorf("cold: %d slots, want 1", got)
 	}
@@ -248,7 +248,7 @@
 	}
 	shed := verdict.New(verdict.NotRun, verdict.ReasonShed, time.Second)
 	p.Done(at(1.1), "t4", Sample{Err: shed, Shed: true, Pause: 3 * time.Second})
-	p.Probed(at(2), "t4", Up)
+	p.ReportHealth(at(2), "t4", Up)
 	for _, seconds := range []float64{1.2, 2.5, 4} {
 		p.Tick(at(seconds), alone(3, four))
 		if got := offers(p, at(seconds)); len(got) > 0 {
--- a/core/dispatch/queue.go
+++ b/core/dispatch/queue.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// AssumedTook is the assumed duration of a request until one has been
-	// measured.
-	AssumedTook = 20 * time.Millisecond
+	// DefaultRequestDuration is the assumed duration of a request until one has
+	// been measured.
+	DefaultRequestDuration = 20 * time.Millisecond
 	// maxWaitShare is the longest expected wait at which a request is queued,
 	// as a share of the time it can wait. With the whole time, half of the
 	// queued requests would be refused at full load, and only after all of
@@ -68,7 +68,7 @@
 		return 0, false
 	}
 	if took == 0 {
-		took = AssumedTook
+		took = DefaultRequestDuration
 	}
 	return took * time.Duration(len(s.queue)+1) / time.Duration(slots), true
 }
@@ -107,8 +107,8 @@
 	}
 }
 
-// GiveBack returns a slot on which no request was sent.
-func (p *Pool) GiveBack(now time.Time, target *inventory.Target) {
+// Release returns a slot on which no request was sent.
+func (p *Pool) Release(now time.Time, target *inventory.Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.release(now, target)
--- a/core/inventory/change.go
+++ b/core/inventory/change.go
@@ -78,7 +78,7 @@
 // Apply returns the version after c. If the result has faults, the error is a
 // *FaultsError with all of them. Apply does not modify inv.
 func (inv *Inventory) Apply(c Change) (*Inventory, error) {
-	next, err := inv.Install(c)
+	next, err := inv.ApplyUnchecked(c)
 	if err != nil {
 		return nil, err
 	}
@@ -88,10 +88,10 @@
 	return next, nil
 }
 
-// Install returns the version after c without validating the result. It is for
-// changes that have already been accepted: every VM must apply them, even if a
-// newer release of the program has different rules.
-func (inv *Inventory) Install(c Change) (*Inventory, error) {
+// ApplyUnchecked returns the version after c without validating the result. It
+// is for changes that have already been accepted: every VM must apply them, even
+// if a newer release of the program has different rules.
+func (inv *Inventory) ApplyUnchecked(c Change) (*Inventory, error) {
 	if c.Based != inv.Version {
 		return nil, errors.Wrapf(ErrVersion, "based on version %d, current version is %d", c.Based, inv.Version)
 	}
--- a/core/steer/demand.go
+++ b/core/steer/demand.go
@@ -52,15 +52,15 @@
 	return f
 }
 
-// Enter counts a request that got a slot.
-func (m *Meter) Enter(now time.Time, service, origin string) {
+// Acquired counts a request that got a slot.
+func (m *Meter) Acquired(now time.Time, service, origin string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.flow(now, service, origin).held++
 }
 
-// Leave counts a request that returned its slot.
-func (m *Meter) Leave(now time.Time, service, origin string) {
+// Released counts a request that returned its slot.
+func (m *Meter) Released(now time.Time, service, origin string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.flow(now, service, origin).held--
--- a/core/steer/lookup_test.go
+++ b/core/steer/lookup_test.go
@@ -74,7 +74,7 @@
 	if got := l2.Lookup(addr).VMs; got[0].Name != "b" || len(got) != 2 {
 		t.Errorf("with VM a leaving: VMs = %v, want b and c", got)
 	}
-	moved, err := inv.Install(inventory.Change{Ops: []inventory.Op{
+	moved, err := inv.ApplyUnchecked(inventory.Change{Ops: []inventory.Op{
 		{Place: &inventory.Place{Name: "suceava", Zone: "z2", Blocks: []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")}}},
 		{Remove: &inventory.Remove{Kind: inventory.KindPlace, Name: "yard"}},
 	}})
@@ -118,7 +118,7 @@
 	}
 	inv := &inventory.Inventory{}
 	for _, op := range ops { // As New, which also inserts the items one by one.
-		next, err := inv.Install(inventory.Change{Based: inv.Version, Ops: []inventory.Op{op}})
+		next, err := inv.ApplyUnchecked(inventory.Change{Based: inv.Version, Ops: []inventory.Op{op}})
 		if err != nil {
 			panic(err)
 		}
@@ -166,7 +166,7 @@
 	l := NewLookups(nil, inv, views, "z0")
 	b.Run("Place", func(b *testing.B) {
 		place := *inv.Place("p7")
-		next, err := inv.Install(inventory.Change{Based: inv.Version, Ops: []inventory.Op{{Place: &place}}})
+		next, err := inv.ApplyUnchecked(inventory.Change{Based: inv.Version, Ops: []inventory.Op{{Place: &place}}})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -189,7 +189,7 @@
 	b.Run("Install", func(b *testing.B) {
 		op := inventory.Op{Place: inv.Place("p7")}
 		for b.Loop() {
-			if _, err := inv.Install(inventory.Change{Based: inv.Version, Ops: []inventory.Op{op}}); err != nil {
+			if _, err := inv.ApplyUnchecked(inventory.Change{Based: inv.Version, Ops: []inventory.Op{op}}); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/core/steer/problem.go
+++ b/core/steer/problem.go
@@ -47,10 +47,10 @@
 	return p
 }
 
-// Registered returns the problem of one service with all registered upstreams up
-// and idle. Every VM computes the same weights from it, so a row starts with them
-// if no peer had weights to restore.
-func Registered(inv *inventory.Inventory, paths []Path, s *inventory.Service) Problem {
+// RegisteredProblem returns the problem of one service with all registered
+// upstreams up and idle. Every VM computes the same weights from it, so a row
+// starts with them if no peer had weights to restore.
+func RegisteredProblem(inv *inventory.Inventory, paths []Path, s *inventory.Service) Problem {
 	p := Problem{HeadroomFloor: s.HeadroomFloor, Paths: paths}
 	registered := registeredSlots(inv, s.Name)
 	for _, z := range inv.Zones {
@@ -87,22 +87,22 @@
 	return sum
 }
 
-// PathBook caches the sorted paths of an inventory. It sorts them again only if
+// PathCache caches the sorted paths of an inventory. It sorts them again only if
 // zones or links have changed. It is not safe for concurrent use; the zero value
 // is empty.
-type PathBook struct {
+type PathCache struct {
 	inv   *inventory.Inventory
 	paths []Path
 }
 
 // Paths returns the paths between all pairs of zones in the order of SortPaths.
 // The caller must not modify them.
-func (b *PathBook) Paths(inv *inventory.Inventory) []Path {
-	if b.inv != nil && sameSlice(b.inv.Zones, inv.Zones) && sameSlice(b.inv.Links, inv.Links) {
-		return b.paths
+func (c *PathCache) Paths(inv *inventory.Inventory) []Path {
+	if c.inv != nil && sameSlice(c.inv.Zones, inv.Zones) && sameSlice(c.inv.Links, inv.Links) {
+		return c.paths
 	}
-	b.inv = inv
-	b.paths = make([]Path, 0, len(inv.Zones)*len(inv.Zones))
+	c.inv = inv
+	c.paths = make([]Path, 0, len(inv.Zones)*len(inv.Zones))
 	for _, from := range inv.Zones {
 		for _, to := range inv.Zones {
 			path := Path{Origin: from.Name, Zone: to.Name, RoundTrip: unlinkedRTT}
@@ -111,11 +111,11 @@
 			} else if link := inv.Link(from.Name, to.Name); link != nil {
 				path.RoundTrip, path.MaxConcurrent = link.RoundTrip, float64(link.MaxConcurrent)
 			}
-			b.paths = append(b.paths, path)
+			c.paths = append(c.paths, path)
 		}
 	}
-	SortPaths(b.paths)
-	return b.paths
+	SortPaths(c.paths)
+	return c.paths
 }
 
 // Exclude removes the supply of the zones for which excluded returns true.
--- a/core/steer/reach.go
+++ b/core/steer/reach.go
@@ -14,11 +14,11 @@
 	unreachableFor = LostAfter
 )
 
-// Reach records whether requests reach the VMs of each zone. This takes
+// Reachability records whether requests reach the VMs of each zone. This takes
 // precedence over the zone's last summary, which shows only after LostAfter
 // that a zone is unreachable; until then requests sent there would be refused.
 // It is safe for concurrent use; the zero value is ready to use.
-type Reach struct {
+type Reachability struct {
 	mu    sync.Mutex
 	zones map[string]failureRun // Zones whose last request failed.
 }
@@ -28,9 +28,9 @@
 	first, last time.Time
 }
 
-// Note records whether a request reached a VM of the zone. A request that the
-// VM refused has reached it.
-func (r *Reach) Note(now time.Time, zone string, ok bool) {
+// Record adds the outcome of a request: ok reports whether it reached a VM of
+// the zone. A request that the VM refused has reached it.
+func (r *Reachability) Record(now time.Time, zone string, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if ok {
@@ -48,9 +48,9 @@
 	r.zones[zone] = z
 }
 
-// Cut reports whether the zone is unreachable: all requests to it have failed
-// for unreachableAfter, the last one within unreachableFor.
-func (r *Reach) Cut(now time.Time, zone string) bool {
+// Unreachable reports whether all requests to the zone have failed for
+// unreachableAfter, the last one within unreachableFor.
+func (r *Reachability) Unreachable(now time.Time, zone string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	z, ok := r.zones[zone]
--- a/core/steer/reach_test.go
+++ b/core/steer/reach_test.go
@@ -6,7 +6,7 @@
 // which all requests sent there would be refused. Failed requests must show
 // earlier that the zone is unreachable, but a single one must not, and the
 // failures must expire.
-func TestReach(t *testing.T) {
+func TestReachability(t *testing.T) {
 	type request struct {
 		second float64
 		ok     bool
@@ -25,12 +25,12 @@
 		{"failures long ago", []request{{0, false}, {3, false}}, 40, false},
 		{"two failures far apart", []request{{0, false}, {50, false}}, 50, false},
 	} {
-		var r Reach
+		var r Reachability
 		for _, req := range tc.requests {
-			r.Note(at(req.second), "z", req.ok)
+			r.Record(at(req.second), "z", req.ok)
 		}
-		if got := r.Cut(at(tc.at), "z"); got != tc.want {
-			t.Errorf("%s: Cut = %t, want %t", tc.name, got, tc.want)
+		if got := r.Unreachable(at(tc.at), "z"); got != tc.want {
+			t.Errorf("%s: Unreachable = %t, want %t", tc.name, got, tc.want)
 		}
 	}
 }
--- a/core/steer/rows.go
+++ b/core/steer/rows.go
@@ -76,8 +76,8 @@
 	return keys
 }
 
-// Forget drops the rows for which keep returns false.
-func (r *Rows) Forget(keep func(RowKey) bool) {
+// Retain keeps the rows for which keep returns true and drops the others.
+func (r *Rows) Retain(keep func(RowKey) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for key := range r.rows {
--- a/core/steer/solve.go
+++ b/core/steer/solve.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// FreezeAfter is the age at which none of the spare slots in a zone's summary
+// StaleAfter is the age at which none of the spare slots in a zone's summary
 // count any more: the zone may keep the load it reported, but gets no more.
-const FreezeAfter = 30 * time.Second
+const StaleAfter = 30 * time.Second
 
 // nearRTT is the round trip below which a zone is near. An origin's demand
 // goes to near zones before it uses the headroom of its own zone, and uses that
@@ -115,7 +115,7 @@
 }
 
 // usable returns how many slots may be planned for in the zone. The weight of
-// its spare slots falls with the age of the report and is 0 from FreezeAfter on.
+// its spare slots falls with the age of the report and is 0 from StaleAfter on.
 // If stale reports counted in full, every origin would send its traffic to the
 // zone that was idle at the time of the report.
 func (z ZoneSupply) usable() float64 {
@@ -123,7 +123,7 @@
 		return 0
 	}
 	spare := max(0, z.Slots-z.InUse)
-	weight := max(0, 1-float64(z.Age)/float64(FreezeAfter))
+	weight := max(0, 1-float64(z.Age)/float64(StaleAfter))
 	return min(z.Slots, z.InUse+spare*weight)
 }
 
--- a/io/route/router.go
+++ b/io/route/router.go
@@ -87,7 +87,7 @@
 	Rows       *steer.Rows
 	Meter      *steer.Meter
 	Budget     *dispatch.Budget
-	Reach      *steer.Reach
+	Reach      *steer.Reachability
 	Upstreams  Upstreams
 	VMs        VMs
 	Directory  Directory
@@ -164,7 +164,7 @@
 func (r *Router) remote(ctx context.Context, zone string, req *Request) (*http.Response, error) {
 	vms := r.Directory.ZoneVMs(zone, req.Service)
 	if len(vms) == 0 {
-		r.Reach.Note(time.Now(), zone, false)
+		r.Reach.Record(time.Now(), zone, false)
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoCapacity, retryAfter)
 	}
 	first := int(r.turn.Add(1) % uint64(min(remoteVMs, len(vms))))
@@ -174,14 +174,14 @@
 		var resp *http.Response
 		resp, err = r.VMs.Send(ctx, vm.Forward, req.meta(forward.Zone), req.http(ctx))
 		if err == nil || verdict.As(err).Reason != verdict.ReasonUnreachable {
-			r.Reach.Note(time.Now(), zone, true)
+			r.Reach.Record(time.Now(), zone, true)
 			return resp, err
 		}
 		if !req.Body.Rewindable() {
 			break
 		}
 	}
-	r.Reach.Note(time.Now(), zone, false)
+	r.Reach.Record(time.Now(), zone, false)
 	return nil, err
 }
 
@@ -284,7 +284,7 @@
 	}
 	t, err := r.Pool.Queue(now, req.Service, until)
 	if err != nil {
-		r.Meter.Refused(now, req.Service, req.Origin, dispatch.AssumedTook)
+		r.Meter.Refused(now, req.Service, req.Origin, dispatch.DefaultRequestDuration)
 		return nil, err
 	}
 	timer := time.NewTimer(time.Until(until))
@@ -299,7 +299,7 @@
 	case <-ctx.Done():
 	}
 	r.Pool.Cancel(time.Now(), t)
-	r.Meter.Refused(time.Now(), req.Service, req.Origin, dispatch.AssumedTook)
+	r.Meter.Refused(time.Now(), req.Service, req.Origin, dispatch.DefaultRequestDuration)
 	return nil, verdict.New(verdict.NotRun, verdict.ReasonQueueFull, retryAfter)
 }
 
@@ -317,10 +317,10 @@
 func (r *Router) send(ctx context.Context, t *inventory.Target, req *Request) (*http.Response, error) {
 	started := time.Now()
 	if !claim.MayDispatch(started, req.Deadline) {
-		r.Pool.GiveBack(started, t)
+		r.Pool.Release(started, t)
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonDeadline, 0)
 	}
-	r.Meter.Enter(started, req.Service, req.Origin)
+	r.Meter.Acquired(started, req.Service, req.Origin)
 	run := func(time.Time, *verdict.Error) {}
 	if req.Identity != nil {
 		run = r.Guard.Begin(started, req.Identity, t)
@@ -332,7 +332,7 @@
 		} else {
 			run(now, verdict.As(err))
 		}
-		r.Meter.Leave(now, req.Service, req.Origin)
+		r.Meter.Released(now, req.Service, req.Origin)
 		r.Pool.Done(now, t.Name, sampleOf(err, now.Sub(started)))
 	}
 	hr := req.http(ctx)
--- a/io/vm/config.go
+++ b/io/vm/config.go
@@ -73,7 +73,7 @@
 		if change.Based < c.inv.Version {
 			continue
 		}
-		next, err := c.inv.Install(change)
+		next, err := c.inv.ApplyUnchecked(change)
 		if err != nil {
 			return err
 		}
--- a/io/vm/health.go
+++ b/io/vm/health.go
@@ -113,7 +113,7 @@
 		return
 	}
 	state, before := p.vm.health.note(p.target.Name, h, err)
-	p.vm.pool.Probed(time.Now(), p.target.Name, state)
+	p.vm.pool.ReportHealth(time.Now(), p.target.Name, state)
 	if state != before {
 		p.vm.log.WithFields(logrus.Fields{"Target": p.target.Name, "Health": state, "Before": before, "Err": err}).Info("HealthChanged")
 	}
@@ -133,7 +133,7 @@
 	}
 	for _, t := range inv.ZoneTargets(v.cfg.Zone) {
 		if !v.health.probes(t.Name) {
-			v.pool.Probed(now, t.Name, found[t.Name])
+			v.pool.ReportHealth(now, t.Name, found[t.Name])
 		}
 	}
 }
--- a/io/vm/heartbeat.go
+++ b/io/vm/heartbeat.go
@@ -63,13 +63,13 @@
 	held := v.pool.Tick(now, view)
 	v.table.Publish(now, member.VM{
 		Name: v.cfg.Name, Zone: v.cfg.Zone, Address: v.address(), Leaving: v.leaving.Load(), Version: inv.Version,
-		Dispatches: view.Fresh, Held: held, Pending: v.pool.Pending(), Health: v.health.reports(),
+		Dispatches: view.Synced, Held: held, Pending: v.pool.Pending(), Health: v.health.reports(),
 	})
 	if v.beats.Add(1)%globalBeats != 0 {
 		return
 	}
 	v.table.PublishUsage(now, member.Usage{
-		VM: v.cfg.Name, Settled: view.Fresh && !v.pool.Pending(), Services: serviceLoads(v.pool.Services(now)), Demands: v.meter.Sample(now),
+		VM: v.cfg.Name, Settled: view.Synced && !v.pool.Pending(), Services: serviceLoads(v.pool.Services(now)), Demands: v.meter.Sample(now),
 	})
 	if v.represents(now, 1) {
 		roster, load := v.table.Summarize(now)
@@ -92,14 +92,14 @@
 	fresh := v.table.Fresh(now, member.JoinHold{Listed: v.joinHold(), Unlisted: v.cfg.Timing.JoinHold})
 	view := dispatch.View{
 		Targets: inv.ZoneTargets(v.cfg.Zone), Services: inv.Services,
-		Live: v.table.Dispatching(now, fresh), Seq: v.table.NextSeq(), Fresh: fresh,
+		Live: v.table.Dispatching(now, fresh), Seq: v.table.NextSeq(), Synced: fresh,
 		Drained: map[string]bool{},
 	}
 	for _, t := range view.Targets {
 		view.Drained[t.Name] = inv.TargetDrained(t)
 	}
 	for _, m := range v.table.Mates(now) {
-		view.Mates = append(view.Mates, dispatch.MateView{
+		view.Peers = append(view.Peers, dispatch.PeerView{
 			VM: m.VM.Name, Held: m.VM.Held, Acked: m.VM.Acks[v.cfg.Name], Gone: m.State == member.Gone,
 		})
 	}
--- a/io/vm/steer.go
+++ b/io/vm/steer.go
@@ -80,13 +80,13 @@
 	for _, s := range inv.Services {
 		v.steerService(now, inv, s, views)
 	}
-	v.rows.Forget(func(key steer.RowKey) bool { return inv.Service(key.Service) != nil })
+	v.rows.Retain(func(key steer.RowKey) bool { return inv.Service(key.Service) != nil })
 }
 
 func (v *VM) steerService(now time.Time, inv *inventory.Inventory, s *inventory.Service, views []member.ZoneView) {
 	paths := v.paths.Paths(inv)
 	problem := steer.ProblemFor(inv, paths, s, views, now.Sub(v.started))
-	problem.Exclude(func(zone string) bool { return v.reach.Cut(now, zone) })
+	problem.Exclude(func(zone string) bool { return v.reach.Unreachable(now, zone) })
 	wanted := steer.Solve(problem)
 	limit := steer.Limit{Cap: s.MaxShiftPerMinute, FailoverCap: s.MaxFailoverPerMinute, Lost: problem.Lost()}
 	var first steer.Assignment
@@ -95,7 +95,7 @@
 		row := v.rows.Row(key)
 		if len(row.Weights()) == 0 {
 			if first == nil {
-				first = steer.Solve(steer.Registered(inv, paths, s))
+				first = steer.Solve(steer.RegisteredProblem(inv, paths, s))
 			}
 			row.Move(now, first[z.Name], limit)
 		}
--- a/io/vm/vm.go
+++ b/io/vm/vm.go
@@ -58,8 +58,8 @@
 	rows   steer.Rows
 	meter  steer.Meter
 	budget dispatch.Budget
-	reach  steer.Reach
-	paths  steer.PathBook // Of the steerLoop alone.
+	reach  steer.Reachability
+	paths  steer.PathCache // Of the steerLoop alone.
 	config *config
 	health healthBook
 
