--- a/core/balance/ablate.go
+++ b/core/balance/ablate.go
@@ -12,24 +12,24 @@
 	Distance
 	// Bytes prefers near targets more for objects with large requests and responses.
 	Bytes
-	// RegionFit corrects the regions' shares of objects towards their slots.
-	RegionFit
-	// ZonePull prefers targets of the VM's own zone.
-	ZonePull
+	// RegionCorrection corrects the regions' shares of objects towards their slots.
+	RegionCorrection
+	// SameZone prefers targets of the VM's own zone.
+	SameZone
 	// Depth bounds the requests at a target beyond its slots.
 	Depth
-	// Spare sends requests for which the owner has no room to an idle target.
-	Spare
+	// IdleFallback sends requests for which the owner has no room to an idle target.
+	IdleFallback
 	// SlowSuspects makes targets suspect that are much slower than others.
 	SlowSuspects
 	// SilentSuspects makes targets suspect that do not respond.
 	SilentSuspects
-	// RefusalCounts counts unnecessary refusals towards an ejection.
-	RefusalCounts
-	// FailureCounts counts failures towards an ejection.
-	FailureCounts
-	// Panic ignores suspicion if most targets are suspect.
-	Panic
+	// RefusalEjection counts unnecessary refusals towards an ejection.
+	RefusalEjection
+	// FailureEjection counts failures towards an ejection.
+	FailureEjection
+	// SuspectCap ignores suspicion if most targets are suspect.
+	SuspectCap
 	numMechanisms
 )
 
--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -22,8 +22,8 @@
 	Ahead float64
 	// Owner reports whether the target is the owner of the request's object.
 	Owner bool
-	// Trip is the usual round trip time to the target, 0 if unknown.
-	Trip time.Duration
+	// RTT is the usual round trip time to the target, 0 if unknown.
+	RTT time.Duration
 	// limited reports whether the request was taken out of the target's rate limit.
 	limited bool
 }
@@ -109,7 +109,7 @@
 	}
 	p.refreshed = now
 	p.medianLatency = medianLatencyOf(p.states)
-	p.ignoreSuspects = !p.disabled[Panic] && p.suspects(now) > maxSuspectShare*float64(len(p.states))
+	p.ignoreSuspects = !p.disabled[SuspectCap] && p.suspects(now) > maxSuspectShare*float64(len(p.states))
 }
 
 // New returns a Balancer without targets for the VM self.
@@ -217,7 +217,7 @@
 		signals: b.restore(t), history: &emptyHistory,
 	}
 	s.updateRestricted()
-	if t.Zone == b.zone && !b.disabled[ZonePull] {
+	if t.Zone == b.zone && !b.disabled[SameZone] {
 		s.weight *= sameZoneFactor
 	}
 	return s
@@ -327,9 +327,9 @@
 		s.recordResult(now, 1, false)
 	}
 	switch {
-	case o.Failed && !b.disabled[FailureCounts]:
+	case o.Failed && !b.disabled[FailureEjection]:
 		s.recordResult(now, 1, o.Unreachable)
-	case o.Refused && !b.disabled[RefusalCounts]:
+	case o.Refused && !b.disabled[RefusalEjection]:
 		s.recordResult(now, refusalWeight, false)
 	case o.Answered:
 		s.recordResult(now, 0, false)
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -35,7 +35,7 @@
 func newVM(region string, targets []*target.Target) *balance.Balancer {
 	b := balance.New("vm-"+region, region, region+"-0")
 	b.SetTargets(targets)
-	b.Join()
+	b.SetSynced()
 	return b
 }
 
--- a/core/balance/choose.go
+++ b/core/balance/choose.go
@@ -86,7 +86,7 @@
 	if s.inFlight == 0 {
 		s.silentSince = now
 	}
-	lease := Lease{Target: s.Target, state: s, route: route, sentAt: now, Ahead: s.outstanding(now), Owner: owner, Trip: b.rtt(s)}
+	lease := Lease{Target: s.Target, state: s, route: route, sentAt: now, Ahead: s.outstanding(now), Owner: owner, RTT: b.rtt(s)}
 	lease.limited = s.limited() && s.signals.limit.Take(now, b.senderRank(s))
 	s.inFlight++
 	return lease, nil
@@ -124,7 +124,7 @@
 		if first == nil || cost < firstCost {
 			first, firstCost = s, cost
 		}
-		if (idle == nil || cost < idleCost) && !b.disabled[Spare] && s.outstanding(now) < idleThreshold*float64(s.Slots) {
+		if (idle == nil || cost < idleCost) && !b.disabled[IdleFallback] && s.outstanding(now) < idleThreshold*float64(s.Slots) {
 			idle, idleCost = s, cost
 		}
 	}
--- a/core/balance/doc.go
+++ b/core/balance/doc.go
@@ -20,13 +20,13 @@
 //
 //	b := balance.New(self, region, zone, balance.WithNews(signal))
 //	b.SetTargets(targets)
-//	b.Told(now, placements)       // Received from another VM; Join once all are merged.
-//	b.Join()
+//	b.MergePlacements(now, placements)               // Received from another VM.
+//	b.SetSynced()                                    // Once all are merged.
 //	lease, err := b.Choose(now, balance.Request{Service: "a", Route: "r", Key: key})
-//	if b.Admit(now, lease) {     // Right before the request is written.
-//		...                  // Send it to lease.Target.
+//	if b.Admit(now, lease) {                         // Right before the request is written.
+//		...                                      // Send it to lease.Target.
 //		b.Heard(now, lease, balance.Notice{...}) // From the response header.
 //	}
 //	b.Done(now, lease, balance.Outcome{...})
-//	publish(b.News())            // Placements made by this VM.
+//	publish(b.News())                                // Placements made by this VM.
 package balance
--- a/core/balance/leaving_test.go
+++ b/core/balance/leaving_test.go
@@ -17,7 +17,7 @@
 	}
 	b := balance.New("vm", "north", "north-0")
 	b.SetTargets(targets)
-	b.Join()
+	b.SetSynced()
 	return b, targets, mustChoose(t, b, 0)
 }
 
@@ -52,8 +52,8 @@
 		}, false},
 		{"registration lapses and is renewed", func(b *balance.Balancer, targets []*target.Target, l balance.Lease) []*target.Target {
 			b.SetTargets(nil)
-			b.Forget(at(60))
-			b.Forget(at(60_000))
+			b.Expire(at(60))
+			b.Expire(at(60_000))
 			return targets
 		}, false},
 		{"new incarnation", func(_ *balance.Balancer, targets []*target.Target, l balance.Lease) []*target.Target {
@@ -113,7 +113,7 @@
 	}
 	other := balance.New("other", "north", "north-0")
 	other.SetTargets(targets)
-	other.ToldReports(at(20), b.Reports(at(20)))
+	other.MergeReports(at(20), b.Reports(at(20)))
 	for i := range 20 {
 		next := mustChoose(t, other, 30+i)
 		if next.Target.ID == first.Target.ID {
--- a/core/balance/limit_test.go
+++ b/core/balance/limit_test.go
@@ -56,7 +56,7 @@
 		v := &limitVM{name: fmt.Sprint("vm", i), region: threeRegions[i%3]}
 		f.vms = append(f.vms, v)
 		f.boot(v)
-		v.Join()
+		v.SetSynced()
 	}
 	for _, v := range f.vms {
 		v.SetVMs(f.members())
@@ -177,7 +177,7 @@
 				if to == v || len(list) == 0 || f.rng.IntN(20) == 0 {
 					continue
 				}
-				f.after(f.delay(v.region, to.region), func() { to.ToldReports(f.clock(), list) })
+				f.after(f.delay(v.region, to.region), func() { to.MergeReports(f.clock(), list) })
 			}
 		})
 	}
@@ -203,7 +203,7 @@
 			// Some of the others are not known yet.
 			known := slices.DeleteFunc(f.members(), func(vm balance.VM) bool { return vm.Name != v.name && f.rng.IntN(10) == 0 })
 			v.SetVMs(known)
-			v.Join()
+			v.SetSynced()
 			f.after(2*time.Second, func() {
 				if v.process == process {
 					v.SetVMs(f.members())
@@ -344,7 +344,7 @@
 	}
 	b.Heard(start.Add(time.Millisecond), l, balance.Notice{Limit: throttle.Notice{Kind: throttle.Named, PerSecond: 1}})
 	b.SetTargets(nil)
-	b.Forget(start.Add(time.Second))
+	b.Expire(start.Add(time.Second))
 	b.SetTargets(only)
 	if _, err := b.Choose(start.Add(2*time.Millisecond), req); err == nil {
 		t.Error("the limit was lost with the registration")
--- a/core/balance/place.go
+++ b/core/balance/place.go
@@ -230,10 +230,10 @@
 	b.place(now, placed, pl, s)
 }
 
-// Join marks this VM as synced: it has merged the placements that others know, or there are
-// none. Until then it uses the preference order alone, by which VMs that start at the same time
-// agree without communication.
-func (b *Balancer) Join() {
+// SetSynced marks this VM as synced: it has merged the placements that others know, or there
+// are none. Until then it uses the preference order alone, by which VMs that start at the same
+// time agree without communication.
+func (b *Balancer) SetSynced() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.synced = true
@@ -248,9 +248,9 @@
 	return news
 }
 
-// Told merges placements received from another VM, and returns the known placements that
-// supersede them.
-func (b *Balancer) Told(now time.Time, list []Placement) (newer []Placement) {
+// MergePlacements merges placements received from another VM, and returns the known placements
+// that supersede them.
+func (b *Balancer) MergePlacements(now time.Time, list []Placement) (newer []Placement) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, received := range list {
@@ -289,16 +289,16 @@
 	return list, b.placementChanges
 }
 
-// Placed returns the number of placements.
-func (b *Balancer) Placed() int {
+// PlacementCount returns the number of placements.
+func (b *Balancer) PlacementCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.placementCount
 }
 
-// Forget drops placements of objects without requests for placementTTL, and signals of
+// Expire drops placements of objects without requests for placementTTL, and signals of
 // upstreams that have not been registered for signalRetention.
-func (b *Balancer) Forget(now time.Time) {
+func (b *Balancer) Expire(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expireSignals(now)
--- a/core/balance/place_test.go
+++ b/core/balance/place_test.go
@@ -125,7 +125,7 @@
 	rnd := rand.New(rand.NewPCG(1, 1))
 	a, b := newVM("north", targets), balance.New("vm-b", "north", "north-1")
 	b.SetTargets(targets)
-	b.Join()
+	b.SetSynced()
 	owners(t, a, start, 72)
 	for i := range 72 { // In another order, so that they differ.
 		answered(b, start, choose(t, b, start, balance.Request{Route: "look-up", Key: fmt.Sprint("object", 71-i)}))
@@ -133,8 +133,8 @@
 	for round := 0; round < 10; round++ {
 		fromA, fromB := a.News(), b.News()
 		rnd.Shuffle(len(fromA), func(i, j int) { fromA[i], fromA[j] = fromA[j], fromA[i] })
-		a.Told(start, b.Told(start, fromA))
-		b.Told(start, a.Told(start, fromB))
+		a.MergePlacements(start, b.MergePlacements(start, fromA))
+		b.MergePlacements(start, a.MergePlacements(start, fromB))
 	}
 	if n := countDiffering(a, b); n != 0 {
 		t.Errorf("%d objects differ after both VMs merged the other's placements", n)
@@ -152,10 +152,10 @@
 	later := start.Add(time.Minute / 2)
 	young := balance.New("vm-young", "north", "north-1")
 	young.SetTargets(targets)
-	young.Join()
+	young.SetSynced()
 	owners(t, young, later, 72)
-	young.Told(later, old.Told(later, young.News()))
-	if newer := old.Told(later, before); len(newer) != 0 {
+	young.MergePlacements(later, old.MergePlacements(later, young.News()))
+	if newer := old.MergePlacements(later, before); len(newer) != 0 {
 		t.Errorf("%d objects moved by a VM that had just started", len(newer))
 	}
 	if n := countDiffering(old, young); n != 0 {
@@ -231,11 +231,11 @@
 	for i := range 70_000 {
 		answered(b, start, choose(t, b, start, balance.Request{Route: fmt.Sprint("route", i%300), Key: fmt.Sprint(i)}))
 	}
-	if n := b.Placed(); n > 64<<10 {
+	if n := b.PlacementCount(); n > 64<<10 {
 		t.Errorf("%d placements, want at most 65536", n)
 	}
-	b.Forget(start.Add(2 * time.Minute))
-	if n := b.Placed(); n != 0 {
+	b.Expire(start.Add(2 * time.Minute))
+	if n := b.PlacementCount(); n != 0 {
 		t.Errorf("%d placements two minutes later, want 0", n)
 	}
 }
@@ -257,15 +257,15 @@
 // A Balancer must work without any one mechanism, so that the effect of each can be measured.
 func TestWithout(t *testing.T) {
 	targets := newTargets(5, map[string]int{"north": 6, "south": 6})
-	for m := balance.Placing; m <= balance.Panic; m++ {
+	for m := balance.Placing; m <= balance.SuspectCap; m++ {
 		b := balance.New("vm", "north", "north-0", balance.Without(m))
 		b.SetTargets(targets)
-		b.Join()
+		b.SetSynced()
 		list := owners(t, b, start, 72)
 		if again := owners(t, b, start, 72); countMoved(list, again) > 1 {
 			t.Errorf("without mechanism %d: %d of 72 objects moved, want at most 1", m, countMoved(list, again))
 		}
-		if placed := b.Placed() > 0; placed == (m == balance.Placing) {
+		if placed := b.PlacementCount() > 0; placed == (m == balance.Placing) {
 			t.Errorf("without mechanism %d: has placements: %v", m, placed)
 		}
 	}
--- a/core/balance/report.go
+++ b/core/balance/report.go
@@ -33,9 +33,9 @@
 	return list
 }
 
-// ToldReports merges reports received from another VM. Reports of incarnations that are not
+// MergeReports merges reports received from another VM. Reports of incarnations that are not
 // registered here are dropped.
-func (b *Balancer) ToldReports(now time.Time, list []Report) {
+func (b *Balancer) MergeReports(now time.Time, list []Report) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, r := range list {
--- a/core/balance/weigh.go
+++ b/core/balance/weigh.go
@@ -111,7 +111,7 @@
 	}
 	remoteFactor := math.Exp(-exponent)
 	list := p.slots()
-	if !b.disabled[RegionFit] {
+	if !b.disabled[RegionCorrection] {
 		correctWeights(list, remoteFactor)
 	}
 	factors := make([]float64, len(list))
--- a/core/model/policy.go
+++ b/core/model/policy.go
@@ -59,7 +59,7 @@
 	o := &Ours{shape: shape, updates: make([][]placementUpdate, shape.Regions), applied: make([]int, shape.VMs)}
 	for i := range shape.VMs {
 		b := balance.New(fmt.Sprint("vm", i), shape.region(i), shape.region(i))
-		b.Join()
+		b.SetSynced()
 		o.vms = append(o.vms, b)
 	}
 	o.Targets(0)
@@ -94,7 +94,7 @@
 // applyUpdates merges into a VM's Balancer the placements that have reached the VM.
 func (o *Ours) applyUpdates(now time.Time, vm int) {
 	for list := o.updates[vm%o.shape.Regions]; o.applied[vm] < len(list) && !now.Before(list[o.applied[vm]].at); o.applied[vm]++ {
-		o.vms[vm].Told(now, list[o.applied[vm]].list)
+		o.vms[vm].MergePlacements(now, list[o.applied[vm]].list)
 	}
 }
 
--- a/io/entry/log.go
+++ b/io/entry/log.go
@@ -63,8 +63,8 @@
 	f := v.circumstances(now, req)
 	f["Target"], f["TargetZone"], f["Status"] = a.lease.Target.ID, a.lease.Target.Zone, a.resp.StatusCode
 	f["Owner"], f["Ahead"], f["Slots"] = a.lease.Owner, int(a.lease.Ahead), a.lease.Target.Slots
-	if a.lease.Trip > 0 {
-		f["TripMs"] = a.lease.Trip.Milliseconds()
+	if a.lease.RTT > 0 {
+		f["TripMs"] = a.lease.RTT.Milliseconds()
 	}
 	f["Tries"], f["TookMs"] = a.tries, now.Sub(req.started).Milliseconds()
 	if behind := now.Sub(res.readyAt); behind >= time.Millisecond {
--- a/io/entry/metrics.go
+++ b/io/entry/metrics.go
@@ -100,7 +100,7 @@
 		PlatformCalls: c.platformCalls.Load(), PlatformErrors: c.platformErrors.Load(),
 		RulesAgeMs:   v.replicas[TableRules].Head(now).Age.Milliseconds(),
 		TargetsAgeMs: v.replicas[TableTargets].Head(now).Age.Milliseconds(),
-		LiveVMs:      len(v.members.Live(now)), Placements: v.balancer.Placed(), Poison: v.guard.Ledger().Counts(), GivenUpByReason: make(map[verdict.Reason]int64),
+		LiveVMs:      len(v.members.Live(now)), Placements: v.balancer.PlacementCount(), Poison: v.guard.Ledger().Counts(), GivenUpByReason: make(map[verdict.Reason]int64),
 	}
 	f.RulesSureMs = v.rulesAge(clock.Boot()).Milliseconds()
 	f.LimitsHeardMs = min(v.limits.Age(now), lease.Never).Milliseconds()
--- a/io/entry/notice.go
+++ b/io/entry/notice.go
@@ -105,7 +105,7 @@
 // Knows implements peer.UpstreamTable.
 func (u upstreamTable) Knows(now time.Time, addr string) bool { return u.isMate(now, addr) }
 
-// ToldReports implements peer.UpstreamTable.
-func (u upstreamTable) ToldReports(now time.Time, list []balance.Report) {
-	u.balancer.ToldReports(now, list)
+// MergeReports implements peer.UpstreamTable.
+func (u upstreamTable) MergeReports(now time.Time, list []balance.Report) {
+	u.balancer.MergeReports(now, list)
 }
--- a/io/entry/placement.go
+++ b/io/entry/placement.go
@@ -80,9 +80,9 @@
 		}
 	}
 	if since >= joinWithin {
-		t.vm.balancer.Join()
+		t.vm.balancer.SetSynced()
 	}
-	t.vm.balancer.Forget(now)
+	t.vm.balancer.Expire(now)
 	if now.Sub(t.keptAt) >= keepEvery && t.vm.keepsPlacements(now) {
 		t.keep(ctx, now)
 	}
@@ -138,9 +138,9 @@
 		t.vm.log.WithField("Err", err).Warn("PlacementsNotRecalled")
 		return
 	}
-	t.vm.balancer.Told(time.Now(), list)
+	t.vm.balancer.MergePlacements(time.Now(), list)
 	if len(list) > 0 {
-		t.vm.balancer.Join()
+		t.vm.balancer.SetSynced()
 	}
 }
 
--- a/io/peer/datagram.go
+++ b/io/peer/datagram.go
@@ -32,12 +32,12 @@
 
 // PlacementTable is what a VM knows of where objects belong.
 type PlacementTable interface {
-	// Told takes placements in and returns those that hold against them.
-	Told(now time.Time, list []balance.Placement) (newer []balance.Placement)
+	// MergePlacements merges placements and returns the known ones that supersede them.
+	MergePlacements(now time.Time, list []balance.Placement) (newer []balance.Placement)
 	// Placements returns all, and a number that rises with each change.
 	Placements() (list []balance.Placement, changes uint64)
-	// Join tells that all that another VM knows has been told.
-	Join()
+	// SetSynced records that another VM has sent all that it knows.
+	SetSynced()
 }
 
 // PoisonTable is what a VM knows of requests that crash upstreams.
@@ -71,8 +71,8 @@
 	// Knows reports whether the sender at an address, IP:port, is a VM. Others are not heard:
 	// they could keep all VMs from an upstream.
 	Knows(now time.Time, addr string) bool
-	// ToldReports takes in what another VM knows.
-	ToldReports(now time.Time, list []balance.Report)
+	// MergeReports merges what another VM knows.
+	MergeReports(now time.Time, list []balance.Report)
 }
 
 // Datagrams tells other VMs at once what they had better know: where objects belong, and
@@ -140,7 +140,7 @@
 			d.takeDemand(from, &m)
 		}
 		if now := time.Now(); d.upstreams != nil && len(m.GetUpstreams()) > 0 && d.upstreams.Knows(now, from.String()) {
-			d.upstreams.ToldReports(now, wire.Reports(m.GetUpstreams()))
+			d.upstreams.MergeReports(now, wire.Reports(m.GetUpstreams()))
 		}
 	}
 }
@@ -173,11 +173,11 @@
 }
 
 func (d *Datagrams) takePlacements(from netip.AddrPort, m *schema.Datagram) {
-	if newer := d.placements.Told(time.Now(), wire.Placements(m.GetPlacements())); len(newer) > 0 {
+	if newer := d.placements.MergePlacements(time.Now(), wire.Placements(m.GetPlacements())); len(newer) > 0 {
 		d.tell(from, newer)
 	}
 	if m.GetAnswer() {
-		d.placements.Join()
+		d.placements.SetSynced()
 	}
 	if m.GetAsk() {
 		all, _ := d.placements.Placements()
--- a/io/wire/fuzz_test.go
+++ b/io/wire/fuzz_test.go
@@ -83,8 +83,8 @@
 			return
 		}
 		b := balance.New("self", "r", "z")
-		b.Told(start, wire.Placements(m.GetPlacements()))
-		b.Join()
+		b.MergePlacements(start, wire.Placements(m.GetPlacements()))
+		b.SetSynced()
 		if lease, err := b.Choose(start, balance.Request{Service: "s", Route: "r", Key: "k"}); err == nil {
 			t.Errorf("without targets a request goes to %+v", lease.Target)
 		}
