--- a/core/balance/report.go
+++ b/core/balance/report.go
@@ -45,7 +45,7 @@
 		}
 		sig := s.ownSignals()
 		if r.Limit != nil {
-			sig.limit.Told(now, *r.Limit)
+			sig.limit.Merge(now, *r.Limit)
 		}
 		sig.leaving = sig.leaving || r.Leaving
 		s.weighSignals()
--- a/core/balance/signals.go
+++ b/core/balance/signals.go
@@ -204,7 +204,7 @@
 		}
 		left := max(0, s.signals.pausedUntil.Sub(now))
 		if s.limited() {
-			next, ok := s.signals.limit.Next(now, b.placeAt(s))
+			next, ok := s.signals.limit.Delay(now, b.placeAt(s))
 			if !ok {
 				continue // Other VMs send to it.
 			}
--- a/core/claim/attempt.go
+++ b/core/claim/attempt.go
@@ -62,10 +62,10 @@
 	}
 }
 
-// GiveUp ends an attempt that has not dispatched, because its caller left or
+// Cancel ends an attempt that has not dispatched, because its caller left or
 // its deadline passed; err is what the caller is told. The attempt dispatches
 // nothing from then on; the writes that follow settle its row.
-func (a *Attempt) GiveUp(now time.Time, err *verdict.Error) Action {
+func (a *Attempt) Cancel(now time.Time, err *verdict.Error) Action {
 	if a.refusal == nil {
 		a.refusal = err
 	}
@@ -115,10 +115,10 @@
 	return row.State == Claimed && now.After(row.Deadline.Add(MaxWriteDelay))
 }
 
-// MayForget reports whether a row may be deleted: it is settled, and no write
+// MayDelete reports whether a row may be deleted: it is settled, and no write
 // to it can still be in flight. A claim that nobody settled is kept forever;
 // only the upstream or an operator knows whether its operation ran.
-func MayForget(now time.Time, row Row) bool {
+func MayDelete(now time.Time, row Row) bool {
 	return (row.State == Done || row.State == Tombstone) && now.After(row.Written.Add(Retention))
 }
 
@@ -139,7 +139,7 @@
 		return a.resolveConflict(now, r)
 	case NotSent:
 		a.phase = ended
-		return refuse(verdict.NotRun, verdict.ReasonPlatform, RetryUnknown)
+		return refuse(verdict.NotRun, verdict.ReasonPlatform, DefaultRetryAfter)
 	default:
 		return a.settle(now)
 	}
@@ -159,7 +159,7 @@
 		return refuse(verdict.NotRun, verdict.ReasonKeyReused, 0)
 	}
 	if r.Row.State == Claimed {
-		return refuse(verdict.MaybeRan, verdict.ReasonInProgress, RetryUnknown)
+		return refuse(verdict.MaybeRan, verdict.ReasonInProgress, DefaultRetryAfter)
 	}
 	if r.Row.Answer == nil || r.Row.Answer.TooLarge {
 		return refuse(verdict.Ran, verdict.ReasonAnswerNotKept, 0)
@@ -178,7 +178,7 @@
 	a.replacements++
 	if a.replacements > maxReplacements {
 		a.phase = ended
-		return refuse(verdict.NotRun, verdict.ReasonBusy, RetryUnknown)
+		return refuse(verdict.NotRun, verdict.ReasonBusy, DefaultRetryAfter)
 	}
 	return a.claim(now, r.Version)
 }
@@ -212,7 +212,7 @@
 		// is available again. The write may be repeated any number of times,
 		// since its condition is the same.
 		if a.refusal == nil {
-			a.refusal = verdict.New(verdict.NotRun, verdict.ReasonPlatform, RetryUnknown)
+			a.refusal = verdict.New(verdict.NotRun, verdict.ReasonPlatform, DefaultRetryAfter)
 		}
 		return a.write(a.expected, a.row(now, Tombstone, nil))
 	}
@@ -224,7 +224,7 @@
 	if a.refusal != nil {
 		return Action{Kind: Stop}
 	}
-	return refuse(verdict.NotRun, verdict.ReasonPlatform, RetryUnknown)
+	return refuse(verdict.NotRun, verdict.ReasonPlatform, DefaultRetryAfter)
 }
 
 // release replaces the attempt's claim by a tombstone: nothing was dispatched,
--- a/core/claim/attempt_test.go
+++ b/core/claim/attempt_test.go
@@ -95,23 +95,23 @@
 	}
 }
 
-func TestGateLetsOneThroughWhileShut(t *testing.T) {
-	var g Gate
-	if !g.Allow(start) {
+func TestBreakerAllowsOneProbePerInterval(t *testing.T) {
+	var b Breaker
+	if !b.Allow(start) {
 		t.Fatal("open at first")
 	}
-	g.Report(start, Unknown)
+	b.Report(start, Unknown)
 	allowed := 0
 	for ms := range 2500 {
-		if g.Allow(start.Add(time.Duration(ms) * time.Millisecond)) {
+		if b.Allow(start.Add(time.Duration(ms) * time.Millisecond)) {
 			allowed++
 		}
 	}
 	if allowed != 2 {
 		t.Errorf("%d claims allowed in 2.5 s, want 2", allowed)
 	}
-	g.Report(start.Add(3*time.Second), Applied)
-	if !g.Allow(start.Add(3 * time.Second)) {
+	b.Report(start.Add(3*time.Second), Applied)
+	if !b.Allow(start.Add(3 * time.Second)) {
 		t.Error("still open after a write was applied")
 	}
 }
--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -54,9 +54,9 @@
 	DispatchMargin = 50 * time.Millisecond
 )
 
-// RetryUnknown is after which time a caller should retry an operation whose
-// outcome is not known yet, or that cannot be claimed at present.
-const RetryUnknown = time.Second
+// DefaultRetryAfter is the time after which a caller should retry an operation
+// whose outcome is not known yet, or that cannot be claimed at present.
+const DefaultRetryAfter = time.Second
 
 // Key identifies an operation.
 type Key struct {
--- a/core/claim/gate.go
+++ b/core/claim/gate.go
@@ -9,36 +9,36 @@
 // between two such claims.
 const probeInterval = time.Second
 
-// Gate is a circuit breaker for claims: while the table does not respond, it refuses new
-// claims at once, so that callers need not wait for a timeout. One claim per probeInterval
-// is let through as a probe. It is safe for concurrent use; the zero value is closed, which
-// lets all claims through.
-type Gate struct {
+// Breaker is a circuit breaker for claims: while the table does not respond, it refuses
+// new claims at once, so that callers need not wait for a timeout. One claim per
+// probeInterval is let through as a probe. It is safe for concurrent use; the zero value
+// is closed, which lets all claims through.
+type Breaker struct {
 	mu        sync.Mutex
 	open      bool
 	nextProbe time.Time
 }
 
 // Allow reports whether a claim may be tried now.
-func (g *Gate) Allow(now time.Time) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if !g.open {
+func (b *Breaker) Allow(now time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if !b.open {
 		return true
 	}
-	if now.Before(g.nextProbe) {
+	if now.Before(b.nextProbe) {
 		return false
 	}
-	g.nextProbe = now.Add(probeInterval)
+	b.nextProbe = now.Add(probeInterval)
 	return true
 }
 
 // Report records the outcome of a write.
-func (g *Gate) Report(now time.Time, o Outcome) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.open = o == Unknown || o == NotSent
-	if g.open {
-		g.nextProbe = now.Add(probeInterval)
+func (b *Breaker) Report(now time.Time, o Outcome) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.open = o == Unknown || o == NotSent
+	if b.open {
+		b.nextProbe = now.Add(probeInterval)
 	}
 }
--- a/core/ratelimit/collector.go
+++ b/core/ratelimit/collector.go
@@ -31,9 +31,9 @@
 	demands map[ID]Demand
 }
 
-// Told records demand that a VM reports. A report that is too long for one message is
+// Record records demand that a VM reports. A report that is too long for one message is
 // split: first is true for the first message, which replaces the VM's previous report.
-func (c *Collector) Told(now time.Time, vm string, list []Demand, first bool) {
+func (c *Collector) Record(now time.Time, vm string, list []Demand, first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.vms == nil {
@@ -121,9 +121,9 @@
 	return float64(n) / float64(max(1, len(vms)))
 }
 
-// Look searches teams for the hot ones. As there may be many teams, it does nothing if the
-// last search was less than hotInterval ago.
-func (c *Collector) Look(now time.Time, teams []*team.Team, hot func(t *team.Team, perSecond float64) bool) {
+// RefreshHot searches teams for the hot ones. As there may be many teams, it does nothing
+// if the last search was less than hotInterval ago.
+func (c *Collector) RefreshHot(now time.Time, teams []*team.Team, hot func(t *team.Team, perSecond float64) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if now.Sub(c.hotAt) < hotInterval {
--- a/core/ratelimit/doc.go
+++ b/core/ratelimit/doc.go
@@ -48,7 +48,7 @@
 //	l.SetVMs(12)                                    // The number of VMs that callers use.
 //	if wait, ok := l.Take(now, t); !ok { ... 429, retry after wait ... }
 //	l.Return(now, t)                                // The request was not sent after all.
-//	collector.Told(now, "vm-a", l.Demand(now), true)  // On the collector.
-//	collector.Look(now, teams, l.Hot)
+//	collector.Record(now, "vm-a", l.Demand(now), true) // On the collector.
+//	collector.RefreshHot(now, teams, l.Hot)
 //	l.Heard(now, collector.Total(now, asked, vms))
 package ratelimit
--- a/core/ratelimit/fleet_test.go
+++ b/core/ratelimit/fleet_test.go
@@ -53,11 +53,11 @@
 
 // message is a report of demand, or the totals in reply to one.
 type message struct {
-	at       time.Time
-	from, to *limitedVM
-	list     []ratelimit.Demand
-	ask      bool
-	total    *ratelimit.Total
+	at         time.Time
+	from, to   *limitedVM
+	list       []ratelimit.Demand
+	wantTotals bool
+	total      *ratelimit.Total
 }
 
 func newFleet(seed uint64, t *team.Team) *fleet {
@@ -65,7 +65,7 @@
 	for i := range fleetVMs {
 		v := &limitedVM{name: fmt.Sprintf("vm-%02d", i)}
 		f.start(v)
-		v.limiter.NothingBefore()
+		v.limiter.AssumeNoPriorTraffic()
 		f.vms = append(f.vms, v)
 	}
 	return f
@@ -127,7 +127,7 @@
 		if to.down && f.now.Sub(to.started) > 3*time.Second || to.partition != v.partition {
 			continue
 		}
-		f.send(message{from: v, to: to, list: list, ask: reports == 0 || v.limiter.Age(f.now) > 1200*time.Millisecond})
+		f.send(message{from: v, to: to, list: list, wantTotals: reports == 0 || v.limiter.Age(f.now) > 1200*time.Millisecond})
 		if reports++; reports == 2 {
 			return
 		}
@@ -152,11 +152,11 @@
 
 func (f *fleet) collect(m message) {
 	c := m.to.collector
-	c.Told(f.now, m.from.name, m.list, true)
-	if !m.ask || f.now.Sub(m.to.started) < 300*time.Millisecond {
+	c.Record(f.now, m.from.name, m.list, true)
+	if !m.wantTotals || f.now.Sub(m.to.started) < 300*time.Millisecond {
 		return
 	}
-	c.Look(f.now, []*team.Team{f.team}, m.to.limiter.Hot)
+	c.RefreshHot(f.now, []*team.Team{f.team}, m.to.limiter.Hot)
 	total := c.Total(f.now, m.list, f.usedNames())
 	if f.noReserve {
 		total.Silent = 0
--- a/core/ratelimit/limiter.go
+++ b/core/ratelimit/limiter.go
@@ -71,8 +71,8 @@
 	l.bounds = b
 }
 
-// NothingBefore states that no VM had admitted any request before this VM started.
-func (l *Limiter) NothingBefore() {
+// AssumeNoPriorTraffic states that no VM had admitted any request before this VM started.
+func (l *Limiter) AssumeNoPriorTraffic() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.noPriorTraffic = true
--- a/core/route/doc.go
+++ b/core/route/doc.go
@@ -9,7 +9,7 @@
 //
 //	table, err := route.NewTable(cfg)
 //	r := table.Find(host, path)     // nil: no route matches
-//	service := r.Pick(key, &picks)  // the service for this request
+//	service := r.Pick(key, &counts) // the service for this request
 package route
 
 import (
@@ -68,8 +68,8 @@
 	Sticky bool
 	// Homes are the regions that may serve the route; none: all may.
 	Homes []string
-	// Open routes require no key even if there are teams.
-	Open bool
+	// Unauthenticated routes require no key even if there are teams.
+	Unauthenticated bool
 }
 
 // Part is a service with its share of a route's traffic.
@@ -79,8 +79,8 @@
 	Weight float64
 }
 
-// Home reports whether a region may serve the route.
-func (r *Route) Home(region string) bool {
+// IsHome reports whether a region may serve the route.
+func (r *Route) IsHome(region string) bool {
 	if len(r.Homes) == 0 {
 		return true
 	}
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -73,7 +73,7 @@
 func TestSplitKeepsToWeights(t *testing.T) {
 	for _, weights := range [][2]float64{{90, 10}, {50, 50}, {1, 3}} {
 		r := &route.Route{Name: "r", Prefix: "/", Parts: []route.Part{{Service: "a", Weight: weights[0]}, {Service: "b", Weight: weights[1]}}}
-		var picks route.Picks
+		var counts route.SplitCounts
 		const n = 2000
 		got := 0
 		for i := range n {
@@ -81,7 +81,7 @@
 			if i%3 == 0 {
 				key = fmt.Sprint("object", i%40)
 			}
-			if r.Pick(key, &picks) == "b" {
+			if r.Pick(key, &counts) == "b" {
 				got++
 			}
 		}
@@ -92,10 +92,10 @@
 	}
 }
 
-func TestUrgentPriority(t *testing.T) {
+func TestTopPriority(t *testing.T) {
 	tbl := table(t, &route.Route{Name: "1", Host: "h", Prefix: "/1/", Priority: 2}, &route.Route{Name: "2", Host: "h", Prefix: "/2/", Priority: 1})
-	if got := tbl.UrgentPriority("a"); got != 1 {
-		t.Errorf("UrgentPriority = %d, want 1", got)
+	if got := tbl.TopPriority("a"); got != 1 {
+		t.Errorf("TopPriority = %d, want 1", got)
 	}
 }
 
--- a/core/route/split.go
+++ b/core/route/split.go
@@ -17,9 +17,9 @@
 	splitWindow = 400
 )
 
-// Picks counts to which services a VM has sent the requests of split routes. The
-// zero value is ready to use. It is safe for concurrent use.
-type Picks struct {
+// SplitCounts counts to which services a VM has sent the requests of split
+// routes. The zero value is ready to use. It is safe for concurrent use.
+type SplitCounts struct {
 	mu     sync.Mutex
 	routes map[string]*splitCount
 }
@@ -35,13 +35,13 @@
 // served the object responds faster. The counts keep the shares close to the
 // weights for any distribution of keys: with few objects, hashing alone would
 // deviate by a multiple of the tolerance.
-func (r *Route) Pick(key string, picks *Picks) string {
+func (r *Route) Pick(key string, counts *SplitCounts) string {
 	if len(r.Parts) == 1 {
 		return r.Parts[0].Service
 	}
-	picks.mu.Lock()
-	defer picks.mu.Unlock()
-	c := picks.count(r.Name)
+	counts.mu.Lock()
+	defer counts.mu.Unlock()
+	c := counts.count(r.Name)
 	part := r.partByHash(key)
 	if c.share(part.Service) > r.weight(part)+splitTolerance {
 		part = r.furthestBehind(c)
@@ -50,14 +50,14 @@
 	return part.Service
 }
 
-func (p *Picks) count(name string) *splitCount {
-	if p.routes == nil {
-		p.routes = make(map[string]*splitCount)
+func (s *SplitCounts) count(name string) *splitCount {
+	if s.routes == nil {
+		s.routes = make(map[string]*splitCount)
 	}
-	c := p.routes[name]
+	c := s.routes[name]
 	if c == nil {
 		c = &splitCount{parts: make(map[string]float64)}
-		p.routes[name] = c
+		s.routes[name] = c
 	}
 	return c
 }
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -105,9 +105,9 @@
 // Services returns all services.
 func (t *Table) Services() []*Service { return t.Config.Services }
 
-// UrgentPriority returns the highest priority, which is the lowest number, among
+// TopPriority returns the highest priority, which is the lowest number, among
 // the routes to a service.
-func (t *Table) UrgentPriority(service string) int { return t.topPriority[service] }
+func (t *Table) TopPriority(service string) int { return t.topPriority[service] }
 
 // HasHost reports whether the host has any route.
 func (t *Table) HasHost(name string) bool { return t.hosts[name] != nil }
--- a/core/target/target.go
+++ b/core/target/target.go
@@ -10,7 +10,7 @@
 //
 //	var reg target.Registry
 //	change, soon := reg.Update(now, changed, evacuations)
-//	for _, t := range change.Set { ... t.Usable ... }
+//	for _, t := range change.Updated { ... t.Usable ... }
 package target
 
 import (
@@ -100,9 +100,9 @@
 
 // Change is the difference that an Update made to the targets.
 type Change struct {
-	// Set are the targets that are new or have changed, Added those of them with a
-	// new incarnation.
-	Set, Added []*Target
+	// Updated are the targets that are new or have changed, Added those of them with a new
+	// incarnation.
+	Updated, Added []*Target
 	// Gone are the incarnations that were removed.
 	Gone []*Target
 }
@@ -148,7 +148,7 @@
 		}
 	}
 	// Drop targets of evacuated zones that a registration then changed or removed.
-	c.Set = slices.DeleteFunc(c.Set, func(t *Target) bool { return r.targets[t.ID] != t })
+	c.Updated = slices.DeleteFunc(c.Updated, func(t *Target) bool { return r.targets[t.ID] != t })
 	return c, len(r.lapsed) > 0
 }
 
@@ -179,7 +179,7 @@
 		c.Added = append(c.Added, t)
 	}
 	r.targets[reg.ID] = t
-	c.Set = append(c.Set, t)
+	c.Updated = append(c.Updated, t)
 }
 
 func (r *Registry) remove(id string, c *Change) {
@@ -232,7 +232,7 @@
 			t.ColdUntil = until
 		}
 		r.targets[id] = &t
-		c.Set = append(c.Set, &t)
+		c.Updated = append(c.Updated, &t)
 	}
 }
 
--- a/core/target/target_test.go
+++ b/core/target/target_test.go
@@ -45,7 +45,7 @@
 	} {
 		r := registry()
 		c, _ := r.Update(start, []target.Registration{tc.reg}, tc.ev)
-		list := c.Set
+		list := c.Updated
 		if tc.at > 0 {
 			if c, _ = r.Update(start.Add(tc.at), nil, tc.ev); len(c.Gone) > 0 {
 				list = nil
@@ -70,7 +70,7 @@
 	r.Update(start, list, target.Evacuations{Zones: map[string]bool{"z": true}})
 	endsAt := start.Add(time.Second)
 	c, _ := r.Update(endsAt, nil, target.Evacuations{})
-	targets := c.Set
+	targets := c.Updated
 	if !targets[0].Usable || !targets[0].Cold(endsAt) {
 		t.Errorf("usable %v, cold %v when the evacuation ends, want both", targets[0].Usable, targets[0].Cold(endsAt))
 	}
@@ -81,7 +81,7 @@
 
 func TestColdAsRegistered(t *testing.T) {
 	c, _ := registry().Update(start, []target.Registration{reg("a", func(r *target.Registration) { r.ColdLeft = 3 * time.Second })}, target.Evacuations{})
-	targets := c.Set
+	targets := c.Updated
 	if !targets[0].Cold(start.Add(2*time.Second)) || targets[0].Cold(start.Add(4*time.Second)) {
 		t.Error("cold for a time other than the registered 3 s")
 	}
@@ -125,9 +125,9 @@
 		{"one in an unknown zone", []target.Registration{at("d", "3", func(r *target.Registration) { r.Zone = "nowhere" })}, none, "", "", "", ""},
 	} {
 		c, _ := r.Update(start, step.changed, step.ev)
-		if ids(c.Set) != step.set || ids(c.Added) != step.added || ids(c.Gone) != step.gone || ids(r.AtAddresses(c.Added)) != step.same {
+		if ids(c.Updated) != step.set || ids(c.Added) != step.added || ids(c.Gone) != step.gone || ids(r.AtAddresses(c.Added)) != step.same {
 			t.Errorf("%s: set %q, added %q, gone %q, at the same address %q; want %q, %q, %q, %q", step.name,
-				ids(c.Set), ids(c.Added), ids(c.Gone), ids(r.AtAddresses(c.Added)), step.set, step.added, step.gone, step.same)
+				ids(c.Updated), ids(c.Added), ids(c.Gone), ids(r.AtAddresses(c.Added)), step.set, step.added, step.gone, step.same)
 		}
 	}
 	if r.Len() != 1 {
--- a/core/team/bearer.go
+++ b/core/team/bearer.go
@@ -19,8 +19,8 @@
 
 // Errors of Bearer.
 var (
-	ErrNoKey  = errors.New("no key")
-	ErrNotKey = errors.New("credentials are not a single key of the Bearer scheme")
+	ErrNoKey        = errors.New("no key")
+	ErrMalformedKey = errors.New("credentials are not a single key of the Bearer scheme")
 )
 
 // Bearer returns the key of a request, given the values of its Authorization fields,
@@ -32,15 +32,15 @@
 		return "", ErrNoKey
 	}
 	if len(fields) > 1 {
-		return "", ErrNotKey
+		return "", ErrMalformedKey
 	}
 	name, rest, found := strings.Cut(strings.Trim(fields[0], " \t"), " ")
 	if !found || !strings.EqualFold(name, scheme) {
-		return "", ErrNotKey
+		return "", ErrMalformedKey
 	}
 	key := strings.TrimLeft(rest, " ")
 	if len(key) > maxKeyBytes || !isToken(key) {
-		return "", ErrNotKey
+		return "", ErrMalformedKey
 	}
 	return key, nil
 }
--- a/core/team/doc.go
+++ b/core/team/doc.go
@@ -29,18 +29,18 @@
 	Homes []string
 }
 
-// Home reports whether a region may serve the team. The nil Team is that of
+// IsHome reports whether a region may serve the team. The nil Team is that of
 // requests without a key, which any region may serve.
-func (t *Team) Home(region string) bool {
+func (t *Team) IsHome(region string) bool {
 	return t == nil || len(t.Homes) == 0 || slices.Contains(t.Homes, region)
 }
 
 // Limited reports whether the team has a limit.
 func (t *Team) Limited() bool { return t != nil && t.RatePerSecond > 0 }
 
-// Rank returns the priority of the team's requests on a route, given the route's
-// own priority.
-func (t *Team) Rank(route int) int {
+// EffectivePriority returns the priority of the team's requests on a route, given the
+// route's own priority.
+func (t *Team) EffectivePriority(route int) int {
 	if t == nil || t.Priority == nil {
 		return route
 	}
--- a/core/team/example_test.go
+++ b/core/team/example_test.go
@@ -18,6 +18,6 @@
 		return
 	}
 	t := dir.ByKey(key)
-	fmt.Println(t.Name, t.Home("ro-sud"))
+	fmt.Println(t.Name, t.IsHome("ro-sud"))
 	// Output: depot-cluj false
 }
--- a/core/team/team_test.go
+++ b/core/team/team_test.go
@@ -23,20 +23,20 @@
 		{"spaces around", []string{"  Bearer abc "}, "abc", nil},
 		{"all characters of a token", []string{"Bearer aZ09-._~+/=="}, "aZ09-._~+/==", nil},
 		{"no field", nil, "", team.ErrNoKey},
-		{"empty field", []string{""}, "", team.ErrNotKey},
-		{"scheme only", []string{"Bearer"}, "", team.ErrNotKey},
-		{"scheme and a space", []string{"Bearer "}, "", team.ErrNotKey},
-		{"another scheme", []string{"Basic abc"}, "", team.ErrNotKey},
-		{"tab instead of the space", []string{"Bearer\tabc"}, "", team.ErrNotKey},
-		{"two tokens", []string{"Bearer abc def"}, "", team.ErrNotKey},
-		{"comma-separated list", []string{"Bearer abc, Bearer def"}, "", team.ErrNotKey},
-		{"parameter", []string{`Bearer realm="x"`}, "", team.ErrNotKey},
-		{"equal signs only", []string{"Bearer =="}, "", team.ErrNotKey},
-		{"equal sign inside", []string{"Bearer a=b"}, "", team.ErrNotKey},
-		{"not ASCII", []string{"Bearer ключ"}, "", team.ErrNotKey},
-		{"two fields", []string{"Bearer abc", "Bearer def"}, "", team.ErrNotKey},
-		{"the same field twice", []string{"Bearer abc", "Bearer abc"}, "", team.ErrNotKey},
-		{"too long", []string{"Bearer " + strings.Repeat("a", 513)}, "", team.ErrNotKey},
+		{"empty field", []string{""}, "", team.ErrMalformedKey},
+		{"scheme only", []string{"Bearer"}, "", team.ErrMalformedKey},
+		{"scheme and a space", []string{"Bearer "}, "", team.ErrMalformedKey},
+		{"another scheme", []string{"Basic abc"}, "", team.ErrMalformedKey},
+		{"tab instead of the space", []string{"Bearer\tabc"}, "", team.ErrMalformedKey},
+		{"two tokens", []string{"Bearer abc def"}, "", team.ErrMalformedKey},
+		{"comma-separated list", []string{"Bearer abc, Bearer def"}, "", team.ErrMalformedKey},
+		{"parameter", []string{`Bearer realm="x"`}, "", team.ErrMalformedKey},
+		{"equal signs only", []string{"Bearer =="}, "", team.ErrMalformedKey},
+		{"equal sign inside", []string{"Bearer a=b"}, "", team.ErrMalformedKey},
+		{"not ASCII", []string{"Bearer ключ"}, "", team.ErrMalformedKey},
+		{"two fields", []string{"Bearer abc", "Bearer def"}, "", team.ErrMalformedKey},
+		{"the same field twice", []string{"Bearer abc", "Bearer abc"}, "", team.ErrMalformedKey},
+		{"too long", []string{"Bearer " + strings.Repeat("a", 513)}, "", team.ErrMalformedKey},
 	} {
 		key, err := team.Bearer(tc.fields)
 		if key != tc.key || !errors.Is(err, tc.err) {
@@ -85,7 +85,7 @@
 
 func TestTeamOfARequestWithoutAKey(t *testing.T) {
 	var none *team.Team
-	if !none.Home("r") || none.Limited() || none.Rank(3) != 3 {
+	if !none.IsHome("r") || none.Limited() || none.EffectivePriority(3) != 3 {
 		t.Error("a request without a key has a region, limit or priority of a team")
 	}
 	var dir *team.Directory
@@ -94,7 +94,7 @@
 	}
 	priority := 0
 	tm := &team.Team{Homes: []string{"a"}, Priority: &priority}
-	if tm.Home("b") || !tm.Home("a") || tm.Rank(3) != 0 {
+	if tm.IsHome("b") || !tm.IsHome("a") || tm.EffectivePriority(3) != 0 {
 		t.Error("the homes or the priority of a team are ignored")
 	}
 }
--- a/core/throttle/throttle.go
+++ b/core/throttle/throttle.go
@@ -28,7 +28,7 @@
 //		...
 //	}
 //	if r, ok := l.Report(now); ok { send(r) }              // To other VMs,
-//	l.Told(now, r)                                         // and received from them.
+//	l.Merge(now, r)                                        // and received from them.
 package throttle
 
 import "time"
@@ -162,9 +162,9 @@
 // Return returns the token of a request that was not sent after all.
 func (l *Limit) Return() { l.tokens++ }
 
-// Next returns after which time the VM at a place may send a request; false: it is not a
+// Delay returns the time until the VM at a place may send a request; false: it is not a
 // sender.
-func (l *Limit) Next(now time.Time, p Place) (time.Duration, bool) {
+func (l *Limit) Delay(now time.Time, p Place) (time.Duration, bool) {
 	if !l.limited {
 		return 0, true
 	}
@@ -230,9 +230,9 @@
 	return r, r.Limited || r.Age < liftedTTL
 }
 
-// Told merges a report received from another VM. Older ones than the newest known notice
-// are ignored.
-func (l *Limit) Told(now time.Time, r Report) {
+// Merge applies a report received from another VM. A report that is older than the newest
+// known notice is ignored.
+func (l *Limit) Merge(now time.Time, r Report) {
 	noticeAt := now.Add(-max(0, r.Age))
 	// The comparison is also false for NaN.
 	if !noticeAt.After(l.noticeAt) || !(r.PerSecond >= 0) {
--- a/core/throttle/throttle_test.go
+++ b/core/throttle/throttle_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestTold(t *testing.T) {
+func TestMerge(t *testing.T) {
 	limited := func(perSecond float64, age int) throttle.Report {
 		return throttle.Report{Limited: true, PerSecond: perSecond, Age: time.Duration(age) * time.Millisecond}
 	}
@@ -93,7 +93,7 @@
 	} {
 		var l throttle.Limit
 		l.Answered(at(0), at(0), c.own)
-		l.Told(at(1000), c.report)
+		l.Merge(at(1000), c.report)
 		if _, got := l.PerSecond(); got != c.limited {
 			t.Errorf("%s: limited %v, want %v", c.name, got, c.limited)
 		}
--- a/core/verdict/verdict.go
+++ b/core/verdict/verdict.go
@@ -124,9 +124,9 @@
 // Of returns the verdict of err. An error without one is MaybeRan.
 func Of(err error) Verdict { return As(err).Verdict }
 
-// GaveUp returns the reason for the failure of a request, given its context's error: the
-// deadline passed, the caller canceled, or, if ctxErr is nil, other.
-func GaveUp(ctxErr error, other Reason) Reason {
+// ContextReason returns the reason for the failure of a request, given its context's error:
+// the deadline passed, the caller canceled, or, if ctxErr is nil, other.
+func ContextReason(ctxErr error, other Reason) Reason {
 	switch {
 	case errors.Is(ctxErr, context.DeadlineExceeded):
 		return ReasonDeadline
--- a/io/caller/keyed.go
+++ b/io/caller/keyed.go
@@ -39,7 +39,7 @@
 	defer cancel()
 	now := time.Now()
 	if !s.claims.Open(now) {
-		s.refuse(w, req.HTTP, verdict.New(verdict.NotRun, verdict.ReasonPlatform, claim.RetryUnknown))
+		s.refuse(w, req.HTTP, verdict.New(verdict.NotRun, verdict.ReasonPlatform, claim.DefaultRetryAfter))
 		return
 	}
 	a := claim.New(key, newID(), digestOf(req), s.cfg.Holder, req.Deadline)
@@ -122,7 +122,7 @@
 func (s *Server) replay(ctx context.Context, w http.ResponseWriter, req *route.Request, answer *claim.Answer) {
 	body, err := s.claims.Answer(ctx, answer)
 	if err != nil {
-		s.refuse(w, req.HTTP, verdict.Wrap(err, verdict.Ran, verdict.ReasonPlatform, claim.RetryUnknown))
+		s.refuse(w, req.HTTP, verdict.Wrap(err, verdict.Ran, verdict.ReasonPlatform, claim.DefaultRetryAfter))
 		return
 	}
 	h := w.Header()
--- a/io/caller/keyed_test.go
+++ b/io/caller/keyed_test.go
@@ -269,7 +269,7 @@
 	if r.router.runs != 0 {
 		t.Fatalf("ran %d times, though all were told NotRun", r.router.runs)
 	}
-	<-time.After(1100 * time.Millisecond) // The gate lets one try again.
+	<-time.After(1100 * time.Millisecond) // The claim breaker lets a probe through.
 	compare(t, "again", book(t, r.url, "depot", "k", "order"), reply{status: 201, body: "run 1 of /slots"})
 }
 
--- a/io/entry/carry.go
+++ b/io/entry/carry.go
@@ -136,7 +136,7 @@
 	table := v.table.Load()
 	want := balance.Request{
 		Service: req.service, Route: req.route.Name, Key: req.key, Idempotent: req.idempotent(),
-		Urgent: req.team.Rank(req.route.Priority) <= table.UrgentPriority(req.service),
+		Urgent: req.team.EffectivePriority(req.route.Priority) <= table.TopPriority(req.service),
 	}
 	if within := req.route.Objective; within > 0 {
 		want.Objective = within
@@ -146,7 +146,7 @@
 		want.Key, want.Single = req.id, true
 	}
 	if len(req.route.Homes) > 0 || req.team != nil && len(req.team.Homes) > 0 {
-		want.Allowed = func(region string) bool { return req.route.Home(region) && req.team.Home(region) }
+		want.Allowed = func(region string) bool { return req.route.IsHome(region) && req.team.IsHome(region) }
 	}
 	if s := table.Service(req.service); s != nil {
 		want.ColdPerSecond = s.ColdPerSecond
@@ -231,7 +231,7 @@
 
 // broken judges an answer that ended before it was whole.
 func broken(ctx context.Context, err error) *verdict.Error {
-	return verdict.Wrap(err, verdict.Ran, verdict.GaveUp(ctx.Err(), verdict.ReasonBroken), 0)
+	return verdict.Wrap(err, verdict.Ran, verdict.ContextReason(ctx.Err(), verdict.ReasonBroken), 0)
 }
 
 // call is the request as it goes to a target.
--- a/io/entry/copies.go
+++ b/io/entry/copies.go
@@ -320,7 +320,7 @@
 	v.registry.Heartbeat = v.cfg.Load().UpstreamHeartbeat
 	before := v.registry.Len()
 	change, soon := v.registry.Update(now, v.readTargets(), ev)
-	v.balancer.ChangeTargets(change.Set, change.Gone)
+	v.balancer.ChangeTargets(change.Updated, change.Gone)
 	ended := slices.Concat(change.Gone, v.registry.AtAddresses(change.Added))
 	v.guard.Replaced(v.work, now, incarnations(ended), incarnations(change.Added))
 	first := !v.targets.known()
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -70,7 +70,7 @@
 	lastWatchers atomic.Pointer[watchersAt]
 	mates        atomic.Pointer[mateAddrs]
 	upstreams    *upstream.Pool
-	picks        route.Picks
+	picks        route.SplitCounts
 	guard        *quarantine.Guard
 	table        atomic.Pointer[route.Table]
 	ruled        atomic.Pointer[ruledCopy]
@@ -112,7 +112,7 @@
 	var opts []quarantine.Option
 	if cfg.FirstStart {
 		opts = append(opts, quarantine.WithFirstStart())
-		v.limits.NothingBefore()
+		v.limits.AssumeNoPriorTraffic()
 	}
 	v.guard = quarantine.New(cfg.Name, fleet{v}, countedKeeper{v}, v.upstreams, log, opts...)
 	v.requests.log = log
--- a/io/entry/limits.go
+++ b/io/entry/limits.go
@@ -113,12 +113,12 @@
 	if table == nil || used == nil {
 		return ratelimit.Total{}, false
 	}
-	l.collector.Told(now, addr, list, first)
+	l.collector.Record(now, addr, list, first)
 	age := now.Sub(l.started)
 	if age < collectAfter || age < joinHold && len(l.members.Live(now)) < 2 {
 		return ratelimit.Total{}, false
 	}
-	l.collector.Look(now, table.Teams.Teams(), l.limits.Hot)
+	l.collector.RefreshHot(now, table.Teams.Teams(), l.limits.Hot)
 	return l.collector.Total(now, list, *used), true
 }
 
--- a/io/entry/teams.go
+++ b/io/entry/teams.go
@@ -68,7 +68,7 @@
 // from others: see package lease for why looking at the age once, here, is enough. The
 // request is then bound to what it was when its caller sent it, however long it waits.
 func (v *VM) identify(req *request, table *route.Table) *verdict.Error {
-	if table.Teams == nil || req.route.Open {
+	if table.Teams == nil || req.route.Unauthenticated {
 		return nil
 	}
 	if v.strict(table) && req.rulesAge > v.cfg.Load().RevokeWithin {
--- a/io/entry/teams_test.go
+++ b/io/entry/teams_test.go
@@ -40,7 +40,7 @@
 func withTeams(p *fakePlatform, version uint64, keys ...string) {
 	cfg := config(version)
 	open := *cfg.Routes[0]
-	open.Name, open.Prefix, open.Open = "open", "/open/", true
+	open.Name, open.Prefix, open.Unauthenticated = "open", "/open/", true
 	cfg.Routes = append(cfg.Routes, &open)
 	cfg.Teams = []*team.Team{{Name: "depot", Keys: keys}, {Name: "away", Keys: []string{"away"}, Homes: []string{"q"}}, {Name: "few", Keys: []string{"few"}, RatePerSecond: 1, Burst: 2}}
 	p.set(entry.TableRules, "config", cfg)
--- a/io/platform/claims.go
+++ b/io/platform/claims.go
@@ -21,7 +21,7 @@
 type Claims struct {
 	table *Client
 	batch *Batcher
-	gate  claim.Gate
+	gate  claim.Breaker
 }
 
 // NewClaims returns the claims kept by a platform.
@@ -47,7 +47,7 @@
 	return claim.Key{Service: parts[0], Caller: parts[1], Idempotency: parts[2]}, nil
 }
 
-// Open reports whether a new claim may be tried now; see claim.Gate.
+// Open reports whether a new claim may be tried now; see claim.Breaker.
 func (c *Claims) Open(now time.Time) bool { return c.gate.Allow(now) }
 
 // Write carries out a Write action and returns its result. A row found in the
@@ -108,7 +108,7 @@
 func (c *Claims) Sweep(ctx context.Context, now time.Time) (int, error) {
 	n := 0
 	err := c.each(ctx, func(l Listed) error {
-		if !claim.MayForget(now, l.Row) {
+		if !claim.MayDelete(now, l.Row) {
 			return nil
 		}
 		r := c.batch.Write(ctx, Write{Key: rowKey(l.Key), If: uint64(l.Version), Delete: true})
--- a/io/upstream/client.go
+++ b/io/upstream/client.go
@@ -184,7 +184,7 @@
 
 // verdict judges a request that brought no answer.
 func (s *sentWatch) verdict(ctx context.Context, err error) *verdict.Error {
-	reason := verdict.GaveUp(ctx.Err(), verdict.ReasonUnreachable)
+	reason := verdict.ContextReason(ctx.Err(), verdict.ReasonUnreachable)
 	if !s.mayHaveLeft() {
 		return verdict.Wrap(err, verdict.NotRun, reason, retryShed)
 	}
--- a/io/upstream/conn.go
+++ b/io/upstream/conn.go
@@ -154,7 +154,7 @@
 
 // verdict judges a request that brought no answer.
 func (e *exchange) verdict(ctx context.Context, before int64, err error) *verdict.Error {
-	reason := verdict.GaveUp(ctx.Err(), verdict.ReasonBroken)
+	reason := verdict.ContextReason(ctx.Err(), verdict.ReasonBroken)
 	if e.conn.written.Load() == before {
 		return verdict.Wrap(err, verdict.NotRun, reason, retryShed)
 	}
