--- a/core/dispatch/pool_prop_test.go
+++ b/core/dispatch/pool_prop_test.go
@@ -53,8 +53,8 @@
 	now     time.Time
 	vms     []*zoneVM
 	created int
-	cut     map[string]bool // Pairs of VM names that cannot exchange state.
-	list    []member.Listed // The platform's list, possibly out of date.
+	cut     map[string]bool   // Pairs of VM names that cannot exchange state.
+	list    []member.ListedVM // The platform's list, possibly out of date.
 	fail    string
 	granted int // Requests that got a slot.
 }
@@ -75,7 +75,7 @@
 	name := fmt.Sprintf("vm%d", z.created)
 	vm := &zoneVM{name: name, pool: dispatch.NewPool(name)}
 	vm.table = member.NewTable(name, "z", uint64(z.created), z.now)
-	vm.table.SetListed(z.now, z.list)
+	vm.table.SetPlatformList(z.now, z.list)
 	z.vms = append(z.vms, vm)
 	// The platform lists a VM before it starts; the VMs read the list later.
 	z.renewList()
@@ -86,18 +86,18 @@
 func (z *zone) renewList() {
 	z.list = nil
 	for _, vm := range z.vms {
-		z.list = append(z.list, member.Listed{Name: vm.name, Zone: "z", Leaving: vm.leaving})
+		z.list = append(z.list, member.ListedVM{Name: vm.name, Zone: "z", Leaving: vm.leaving})
 	}
 }
 
 func (vm *zoneVM) heartbeat(now time.Time) {
 	vm.table.Tick(now)
-	synced := vm.table.Fresh(now, propHold)
+	synced := vm.table.Synced(now, propHold)
 	view := dispatch.View{
 		Targets: propTargets, Services: propRules, Live: vm.table.Dispatching(now, synced),
 		Seq: vm.table.NextSeq(), Synced: synced,
 	}
-	for _, m := range vm.table.Mates(now) {
+	for _, m := range vm.table.Peers(now) {
 		view.Peers = append(view.Peers, dispatch.PeerView{
 			VM: m.VM.Name, Held: m.VM.Held, Acked: m.VM.Acks[vm.name], Gone: m.State == member.Gone,
 		})
@@ -116,7 +116,7 @@
 	delta := b.table.Answer(z.now, scope, a.table.Digest(z.now, scope))
 	b.table.Merge(z.now, a.table.Get(z.now, scope, delta.Want))
 	if !half {
-		a.table.Take(z.now, delta)
+		a.table.MergeDelta(z.now, delta)
 	}
 }
 
@@ -169,7 +169,7 @@
 	case op < 238:
 		z.renewList()
 	case op < 246:
-		vm.table.SetListed(z.now, z.list)
+		vm.table.SetPlatformList(z.now, z.list)
 	case op < 249:
 		z.join()
 	case op == 249:
--- a/core/member/exchange.go
+++ b/core/member/exchange.go
@@ -58,8 +58,8 @@
 	return d
 }
 
-// Take merges the entries and applies the beats of a response to a digest.
-func (t *Table) Take(now time.Time, d Delta) {
+// MergeDelta merges the entries and applies the beats of a response to a digest.
+func (t *Table) MergeDelta(now time.Time, d Delta) {
 	t.Merge(now, d.Entries)
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/member/join.go
+++ b/core/member/join.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// SetListed sets the platform's list of VMs, as read at the given time. The list
+// SetPlatformList sets the platform's list of VMs, as read at the given time. The list
 // lags, so it never makes a VM Live; it only shows which silent VMs were removed.
-func (t *Table) SetListed(now time.Time, list []Listed) {
+func (t *Table) SetPlatformList(now time.Time, list []ListedVM) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.listReadAt = now
-	t.platformList = make(map[string]Listed, len(list))
+	t.platformList = make(map[string]ListedVM, len(list))
 	for _, l := range list {
 		t.platformList[l.Name] = l
 		t.everListed[l.Name] = true
@@ -21,10 +21,10 @@
 }
 
 // PlatformList returns the platform's list as last read, sorted by name.
-func (t *Table) PlatformList() []Listed {
+func (t *Table) PlatformList() []ListedVM {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slices.SortedFunc(maps.Values(t.platformList), func(a, b Listed) int { return strings.Compare(a.Name, b.Name) })
+	return slices.SortedFunc(maps.Values(t.platformList), func(a, b ListedVM) int { return strings.Compare(a.Name, b.Name) })
 }
 
 // IsListed reports whether the platform's list, as last read, contains this VM.
@@ -45,14 +45,14 @@
 	Unlisted time.Duration
 }
 
-// Fresh reports whether the VM is in sync with its zone and may take slots: since
+// Synced reports whether the VM is in sync with its zone and may take slots: since
 // it started or woke from a pause it has listened for the hold, and has received
 // heartbeats from every peer that may hold slots, including those that only the
 // platform's list or a roster names. Without this, a VM that wakes after its slots
 // were given to others would use them too, and two that start together would each
 // take all.
-func (t *Table) Fresh(now time.Time, hold JoinHold) bool {
-	peers := t.Mates(now)
+func (t *Table) Synced(now time.Time, hold JoinHold) bool {
+	peers := t.Peers(now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	wait, rosters := hold.Unlisted, true
@@ -70,17 +70,17 @@
 	return true
 }
 
-// Strangers returns the VMs of the zone that the platform's list or a roster names
+// UnseenPeers returns the VMs of the zone that the platform's list or a roster names
 // but that have no entry in the table, sorted by name.
-func (t *Table) Strangers() []Listed {
+func (t *Table) UnseenPeers() []ListedVM {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.unseenPeers(true)
 }
 
-// unseenPeers is Strangers under the lock. rosters says whether rosters count.
-func (t *Table) unseenPeers(rosters bool) []Listed {
-	named := make(map[string]Listed)
+// unseenPeers is UnseenPeers under the lock. rosters says whether rosters count.
+func (t *Table) unseenPeers(rosters bool) []ListedVM {
+	named := make(map[string]ListedVM)
 	for _, l := range t.platformList {
 		if l.Zone == t.zone && !l.Leaving {
 			named[l.Name] = l
@@ -92,14 +92,14 @@
 		}
 		for _, vm := range r.Roster.VMs {
 			if !vm.Leaving && !t.delisted(vm.Name) {
-				named[vm.Name] = Listed{Name: vm.Name, Zone: t.zone, Peer: vm.Peer}
+				named[vm.Name] = ListedVM{Name: vm.Name, Zone: t.zone, Peer: vm.Peer}
 			}
 		}
 	}
-	maps.DeleteFunc(named, func(name string, _ Listed) bool {
+	maps.DeleteFunc(named, func(name string, _ ListedVM) bool {
 		return name == t.self || t.entries[vmKey(name)] != nil
 	})
-	return slices.SortedFunc(maps.Values(named), func(a, b Listed) int { return strings.Compare(a.Name, b.Name) })
+	return slices.SortedFunc(maps.Values(named), func(a, b ListedVM) int { return strings.Compare(a.Name, b.Name) })
 }
 
 // delisted reports whether a VM was on the platform's list once and is not on the
--- a/core/member/life.go
+++ b/core/member/life.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Mates returns all VMs of the table but self, sorted by name.
-func (t *Table) Mates(now time.Time) []Status {
+// Peers returns all VMs of the table but self, sorted by name.
+func (t *Table) Peers(now time.Time) []Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.vms) == 0 {
@@ -21,8 +21,8 @@
 	return list
 }
 
-// Mate returns the VM of the table with the given name, unless that is self.
-func (t *Table) Mate(now time.Time, name string) (Status, bool) {
+// FindPeer returns the VM of the table with the given name, unless that is self.
+func (t *Table) FindPeer(now time.Time, name string) (Status, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.entries[vmKey(name)]
@@ -51,7 +51,7 @@
 
 // reportedGone reports whether any VM reports that a silent one was removed. Few VMs ever
 // do, hence the check of goneReporters: scanning all VMs for each silent one is quadratic
-// and took a millisecond per call of Mates with half of 300 VMs silent.
+// and took a millisecond per call of Peers with half of 300 VMs silent.
 func (t *Table) reportedGone(r *record) bool {
 	if t.goneReporters == 0 {
 		return false
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -33,7 +33,7 @@
 //	t.Publish(now, state)
 //	send(t.Digest(now, scope))             // To a peer of this or another zone.
 //	delta := t.Answer(now, scope, digest)  // At the receiver of a digest.
-//	t.Take(now, delta)                     // Back at the sender.
+//	t.MergeDelta(now, delta)               // Back at the sender.
 //	live := t.Live(now)
 //
 // and WithReports:
@@ -239,8 +239,8 @@
 	return [...]string{"Live", "Leaving", "Silent", "Gone"}[s]
 }
 
-// Listed is one VM of the platform's list, which lags.
-type Listed struct {
+// ListedVM is one VM of the platform's list, which lags.
+type ListedVM struct {
 	Name    string
 	Zone    string
 	Peer    string
--- a/core/member/report.go
+++ b/core/member/report.go
@@ -103,7 +103,7 @@
 	case r.VM != nil:
 		z := t.zoneOf(r.VM.Zone)
 		z.vms[r.Stamp.Key] = r
-		z.sum ^= r.Stamp.Content()
+		z.sum ^= r.Stamp.ContentHash()
 	case r.Report != nil:
 		t.zoneOf(r.Report.Zone).reports[r.Stamp.Key] = r
 	}
@@ -114,14 +114,14 @@
 	case r.VM != nil:
 		z := t.zoneOf(r.VM.Zone)
 		delete(z.vms, r.Stamp.Key)
-		z.sum ^= r.Stamp.Content()
+		z.sum ^= r.Stamp.ContentHash()
 	case r.Report != nil:
 		delete(t.zoneOf(r.Report.Zone).reports, r.Stamp.Key)
 	}
 }
 
-// Content returns a hash of the key and number, which identify an entry's content.
-func (s Stamp) Content() uint64 {
+// ContentHash returns a hash of the key and number, which identify an entry's content.
+func (s Stamp) ContentHash() uint64 {
 	var b [24]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(s.Key))
 	binary.LittleEndian.PutUint64(b[8:], s.Incarnation)
--- a/core/member/report_test.go
+++ b/core/member/report_test.go
@@ -81,7 +81,7 @@
 	if rank < 2 {
 		t.PublishReport(f.now)
 	}
-	if seeds := f.names[:min(3, len(f.names))]; len(t.Mates(f.now)) == 0 || f.rand.IntN(4) == 0 {
+	if seeds := f.names[:min(3, len(f.names))]; len(t.Peers(f.now)) == 0 || f.rand.IntN(4) == 0 {
 		others = []string{seeds[f.rand.IntN(len(seeds))]}
 	}
 	if partner := Partner(zonePeers, name, f.rand.IntN(64)); partner != "" {
@@ -114,7 +114,7 @@
 	digest := a.Digest(f.now, scope)
 	d := b.Answer(f.now, scope, digest)
 	f.stamps += len(digest) + len(d.Beats)
-	a.Take(f.now, d)
+	a.MergeDelta(f.now, d)
 	b.Merge(f.now, a.Get(f.now, scope, d.Want))
 }
 
@@ -125,7 +125,7 @@
 		if f.dead[other] || other == name || !among(other) {
 			continue
 		}
-		m, ok := f.tables[other].Mate(f.now, name)
+		m, ok := f.tables[other].FindPeer(f.now, name)
 		if !ok {
 			n[Gone]++
 			continue
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -37,7 +37,7 @@
 	// the last one.
 	everListed   map[string]bool
 	listReadAt   time.Time
-	platformList map[string]Listed
+	platformList map[string]ListedVM
 }
 
 // record is an entry of the table.
@@ -65,7 +65,7 @@
 	t := &Table{
 		self: self, zone: zone, incarnation: incarnation, failAfter: FailAfter,
 		entries: map[Key]*record{}, zones: map[string]*zoneRecords{}, lastTick: now, resumedAt: now,
-		everListed: map[string]bool{}, platformList: map[string]Listed{},
+		everListed: map[string]bool{}, platformList: map[string]ListedVM{},
 	}
 	for _, opt := range opts {
 		opt(t)
--- a/core/member/table_test.go
+++ b/core/member/table_test.go
@@ -29,7 +29,7 @@
 
 func stateOf(t *testing.T, tab *Table, now time.Time, name string) State {
 	t.Helper()
-	for _, m := range tab.Mates(now) {
+	for _, m := range tab.Peers(now) {
 		if m.VM.Name == name {
 			return m.State
 		}
@@ -114,11 +114,11 @@
 	for s := 0.5; s <= 400; s += 0.5 {
 		tab.Tick(at(s))
 	}
-	tab.SetListed(at(200), []Listed{{Name: "a", Zone: "z1"}})
+	tab.SetPlatformList(at(200), []ListedVM{{Name: "a", Zone: "z1"}})
 	if got := stateOf(t, tab, at(400), "b"); got != Silent {
 		t.Errorf("list read at 200 s: state = %v, want Silent", got)
 	}
-	tab.SetListed(at(400), []Listed{{Name: "a", Zone: "z1"}})
+	tab.SetPlatformList(at(400), []ListedVM{{Name: "a", Zone: "z1"}})
 	if got := stateOf(t, tab, at(400), "b"); got != Gone {
 		t.Errorf("list read at 400 s: state = %v, want Gone", got)
 	}
@@ -132,12 +132,12 @@
 		{Stamp: Stamp{Key: KeyOf("load/z2/x"), Incarnation: 1, Seq: 1, Beat: 1}, Load: &Load{Zone: "z2"}},
 		vmEntry("dead", 1, 1, VM{}),
 	})
-	b.Take(at(600), a.Answer(at(600), zone1, nil))
+	b.MergeDelta(at(600), a.Answer(at(600), zone1, nil))
 	views := b.Zones(at(601))
 	if len(views) != 1 || views[0].LoadAge != 601*time.Second {
 		t.Errorf("zones = %+v, want z2 with a load 601 s old", views)
 	}
-	if got := b.Mates(at(601)); len(got) != 0 {
+	if got := b.Peers(at(601)); len(got) != 0 {
 		t.Errorf("peers = %v, want none: dead was last seen more than MaxListLag ago", got)
 	}
 }
@@ -148,15 +148,15 @@
 func TestGonePropagates(t *testing.T) {
 	a, b := NewTable("a", "z1", 1, start), NewTable("b", "z1", 2, at(10))
 	a.Merge(at(0), []Entry{vmEntry("dead", 7, 1, VM{Held: map[string]int{"t": 2}})})
-	a.SetListed(at(0), []Listed{{Name: "a", Zone: "z1"}, {Name: "dead", Zone: "z1"}})
-	b.Take(at(10), a.Answer(at(10), zone1, nil))
-	b.SetListed(at(10), []Listed{{Name: "a", Zone: "z1"}, {Name: "b", Zone: "z1"}})
+	a.SetPlatformList(at(0), []ListedVM{{Name: "a", Zone: "z1"}, {Name: "dead", Zone: "z1"}})
+	b.MergeDelta(at(10), a.Answer(at(10), zone1, nil))
+	b.SetPlatformList(at(10), []ListedVM{{Name: "a", Zone: "z1"}, {Name: "b", Zone: "z1"}})
 	if got := stateOf(t, b, at(11), "dead"); got != Silent {
 		t.Errorf("before a has read the list: state = %v, want Silent", got)
 	}
-	a.SetListed(at(12), []Listed{{Name: "a", Zone: "z1"}, {Name: "b", Zone: "z1"}})
+	a.SetPlatformList(at(12), []ListedVM{{Name: "a", Zone: "z1"}, {Name: "b", Zone: "z1"}})
 	a.Publish(at(12), VM{Name: "a", Zone: "z1"})
-	b.Take(at(12), a.Answer(at(12), zone1, nil))
+	b.MergeDelta(at(12), a.Answer(at(12), zone1, nil))
 	if got := stateOf(t, b, at(12), "dead"); got != Gone {
 		t.Errorf("after a has published: state = %v, want Gone", got)
 	}
@@ -174,7 +174,7 @@
 			pair[0].Tick(at(s))
 			pair[1].Tick(at(s))
 			d := pair[0].Answer(at(s), zone1, pair[1].Digest(at(s), zone1))
-			pair[1].Take(at(s), d)
+			pair[1].MergeDelta(at(s), d)
 			sent += len(d.Entries)
 		}
 	}
@@ -183,7 +183,7 @@
 	}
 	for s := 20.5; s <= 30; s += 0.5 {
 		c.Tick(at(s))
-		c.Take(at(s), b.Answer(at(s), zone1, c.Digest(at(s), zone1)))
+		c.MergeDelta(at(s), b.Answer(at(s), zone1, c.Digest(at(s), zone1)))
 	}
 	if got := stateOf(t, c, at(30), "a"); got != Silent {
 		t.Errorf("a is %v ten seconds after its last beat, want Silent", got)
@@ -197,11 +197,11 @@
 }
 
 func (l listRead) apply(tab *Table) {
-	list := []Listed{{Name: "a", Zone: "z1"}}
+	list := []ListedVM{{Name: "a", Zone: "z1"}}
 	if l.hasB {
-		list = append(list, Listed{Name: "b", Zone: "z1"})
+		list = append(list, ListedVM{Name: "b", Zone: "z1"})
 	}
-	tab.SetListed(at(l.second), list)
+	tab.SetPlatformList(at(l.second), list)
 }
 
 // A VM is paused for a minute and wakes. By its clock every peer has been silent for
@@ -214,12 +214,12 @@
 	if got := stateOf(t, tab, at(60.5), "b"); got != Live {
 		t.Errorf("after a's pause b is %v, want Live", got)
 	}
-	if tab.Fresh(at(64), hold) {
-		t.Errorf("Fresh before a heartbeat of b: a's slots may be b's by now")
+	if tab.Synced(at(64), hold) {
+		t.Errorf("Synced before a heartbeat of b: a's slots may be b's by now")
 	}
 	tab.Merge(at(61), []Entry{vmEntry("b", 1, 2, VM{})})
-	if !tab.Fresh(at(70), hold) {
-		t.Errorf("not Fresh after a heartbeat of b since the pause")
+	if !tab.Synced(at(70), hold) {
+		t.Errorf("not Synced after a heartbeat of b since the pause")
 	}
 }
 
@@ -229,30 +229,30 @@
 // VM must wait longer, and must wait for peers that only a roster names.
 func TestJoiningVMsTakeNoSlotsTooEarly(t *testing.T) {
 	tab := NewTable("a", "z1", 1, start)
-	if tab.Fresh(at(3), hold) {
-		t.Errorf("Fresh after 3 s, unlisted and alone")
+	if tab.Synced(at(3), hold) {
+		t.Errorf("Synced after 3 s, unlisted and alone")
 	}
 	tab.Merge(at(4), []Entry{{
 		Stamp:  Stamp{Key: KeyOf("roster/z1/b"), Incarnation: 1, Seq: 1, Beat: 1},
 		Roster: &Roster{Zone: "z1", VMs: []Address{{Name: "b", Zone: "z1", Peer: "b:1"}}},
 	}})
-	if tab.Fresh(at(9), hold) {
-		t.Errorf("Fresh without an entry of b, which a roster names")
+	if tab.Synced(at(9), hold) {
+		t.Errorf("Synced without an entry of b, which a roster names")
 	}
-	if got := tab.Strangers(); len(got) != 1 || got[0].Peer != "b:1" {
-		t.Errorf("Strangers = %v, want b", got)
+	if got := tab.UnseenPeers(); len(got) != 1 || got[0].Peer != "b:1" {
+		t.Errorf("UnseenPeers = %v, want b", got)
 	}
 	tab.Merge(at(10), []Entry{vmEntry("b", 1, 1, VM{})})
-	if !tab.Fresh(at(10), hold) {
-		t.Errorf("not Fresh after 10 s with an entry of b")
+	if !tab.Synced(at(10), hold) {
+		t.Errorf("not Synced after 10 s with an entry of b")
 	}
 }
 
 func TestListedVMJoinsSooner(t *testing.T) {
 	tab := NewTable("a", "z1", 1, start)
-	tab.SetListed(at(0), []Listed{{Name: "a", Zone: "z1"}, {Name: "c", Zone: "z2"}})
-	if tab.Fresh(at(1), hold) || !tab.Fresh(at(3), hold) {
-		t.Errorf("a listed VM alone in its zone is not Fresh exactly from %v on", hold.Listed)
+	tab.SetPlatformList(at(0), []ListedVM{{Name: "a", Zone: "z1"}, {Name: "c", Zone: "z2"}})
+	if tab.Synced(at(1), hold) || !tab.Synced(at(3), hold) {
+		t.Errorf("a listed VM alone in its zone is not Synced exactly from %v on", hold.Listed)
 	}
 }
 
@@ -265,9 +265,9 @@
 		Stamp:  Stamp{Key: KeyOf("roster/z1/dead"), Incarnation: 1, Seq: 1, Beat: 1},
 		Roster: &Roster{Zone: "z1", VMs: []Address{{Name: "long-gone", Zone: "z1"}}},
 	}})
-	tab.SetListed(at(1), []Listed{{Name: "a", Zone: "z1"}})
-	if !tab.Fresh(at(4), hold) {
-		t.Errorf("not Fresh although this VM is listed and the VM of the stale roster is not")
+	tab.SetPlatformList(at(1), []ListedVM{{Name: "a", Zone: "z1"}})
+	if !tab.Synced(at(4), hold) {
+		t.Errorf("not Synced although this VM is listed and the VM of the stale roster is not")
 	}
 }
 
@@ -289,7 +289,7 @@
 	b.Publish(start, VM{Name: "b", Zone: "z1"})
 	a.Merge(start, []Entry{vmEntry("c", 1, 7, VM{})})
 	d := b.Answer(start, zone1, a.Digest(start, zone1))
-	a.Take(start, d)
+	a.MergeDelta(start, d)
 	b.Merge(start, a.Get(start, zone1, d.Want))
 	for _, tab := range []*Table{a, b} {
 		if got := len(tab.Live(start)); got != 3 {
@@ -302,7 +302,7 @@
 }
 
 // Guards the index of VMs against changes of the entries. Without the index, each call of
-// Mates sorted all VMs, and with half of a fleet silent scanned all of them for each.
+// Peers sorted all VMs, and with half of a fleet silent scanned all of them for each.
 func TestPeersAreSorted(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	tab := NewTable("m", "z", 1, now, WithReports())
@@ -315,7 +315,7 @@
 	state := func(at time.Time) map[string]State {
 		states := make(map[string]State)
 		last := ""
-		for _, m := range tab.Mates(at) {
+		for _, m := range tab.Peers(at) {
 			if m.VM.Name <= last {
 				t.Errorf("%s comes after %s", m.VM.Name, last)
 			}
@@ -357,6 +357,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		tab.Mates(now)
+		tab.Peers(now)
 	}
 }
--- a/core/member/zones.go
+++ b/core/member/zones.go
@@ -64,7 +64,7 @@
 // Summarize returns the roster and the load of the zone, computed from the entries
 // of its VMs, for PublishZone.
 func (t *Table) Summarize(now time.Time) (Roster, Load) {
-	peers := t.Mates(now)
+	peers := t.Peers(now)
 	roster := Roster{Zone: t.zone}
 	load := Load{Zone: t.zone}
 	own := t.Own()
--- a/core/model/even.go
+++ b/core/model/even.go
@@ -10,9 +10,9 @@
 
 // Even is the upper bound of what placing objects can achieve: all VMs share one
 // placement table without delay, a new object goes to the target with the fewest
-// objects, and an object moves only when its target has left. Ours falls short of it
-// by the cost of delayed placements and of considering only a few targets for each
-// object.
+// objects, and an object moves only when its target has left. BalancerPolicy falls
+// short of it by the cost of delayed placements and of considering only a few targets
+// for each object.
 type Even struct {
 	baseline
 	targetOf map[string]int // By object.
--- a/core/model/patterns.go
+++ b/core/model/patterns.go
@@ -7,29 +7,29 @@
 var (
 	// SmallShape is a service of 16 targets behind 10 VMs.
 	SmallShape = Shape{
-		Name: "small", Regions: 1, VMs: 10, Targets: 16, Slots: 4, Queue: 12, Knows: 74, Objects: 564,
-		WorkNew: 240 * time.Millisecond, WorkKnown: 72 * time.Millisecond,
-		Aim: 300 * time.Millisecond, Deadline: 800 * time.Millisecond,
+		Name: "small", Regions: 1, VMs: 10, Targets: 16, Slots: 4, Queue: 12, CacheSize: 74, Objects: 564,
+		WorkMiss: 240 * time.Millisecond, WorkHit: 72 * time.Millisecond,
+		Objective: 300 * time.Millisecond, Deadline: 800 * time.Millisecond,
 	}
 	// GrownShape is a service of 126 targets behind 78 VMs, whose work on an object
 	// that is not cached takes longer than the objective.
 	GrownShape = Shape{
-		Name: "grown", Regions: 1, VMs: 78, Targets: 126, Slots: 4, Queue: 12, Knows: 29, Objects: 1746,
-		WorkNew: 720 * time.Millisecond, WorkKnown: 180 * time.Millisecond,
-		Aim: 500 * time.Millisecond, Deadline: 1500 * time.Millisecond,
+		Name: "grown", Regions: 1, VMs: 78, Targets: 126, Slots: 4, Queue: 12, CacheSize: 29, Objects: 1746,
+		WorkMiss: 720 * time.Millisecond, WorkHit: 180 * time.Millisecond,
+		Objective: 500 * time.Millisecond, Deadline: 1500 * time.Millisecond,
 	}
 	// FarShape is like SmallShape in three regions.
 	FarShape = Shape{
-		Name: "far", Regions: 3, VMs: 12, Targets: 18, Slots: 4, Queue: 12, Knows: 74, Objects: 564,
-		WorkNew: 240 * time.Millisecond, WorkKnown: 72 * time.Millisecond,
-		Aim: 300 * time.Millisecond, Deadline: 800 * time.Millisecond, FarTrip: 110 * time.Millisecond,
+		Name: "far", Regions: 3, VMs: 12, Targets: 18, Slots: 4, Queue: 12, CacheSize: 74, Objects: 564,
+		WorkMiss: 240 * time.Millisecond, WorkHit: 72 * time.Millisecond,
+		Objective: 300 * time.Millisecond, Deadline: 800 * time.Millisecond, CrossRegionRTT: 110 * time.Millisecond,
 	}
 	// SlowShape is a service with few objects for each target. Work on an object that is
 	// not cached takes longer than the objective, so each cache miss is a late response.
 	SlowShape = Shape{
-		Name: "slow", Regions: 3, VMs: 9, Targets: 12, Slots: 5, Queue: 15, Knows: 25, Objects: 72,
-		WorkNew: 880 * time.Millisecond, WorkKnown: 264 * time.Millisecond,
-		Aim: 600 * time.Millisecond, Deadline: 2500 * time.Millisecond, FarTrip: 70 * time.Millisecond,
+		Name: "slow", Regions: 3, VMs: 9, Targets: 12, Slots: 5, Queue: 15, CacheSize: 25, Objects: 72,
+		WorkMiss: 880 * time.Millisecond, WorkHit: 264 * time.Millisecond,
+		Objective: 600 * time.Millisecond, Deadline: 2500 * time.Millisecond, CrossRegionRTT: 70 * time.Millisecond,
 	}
 	// Shapes lists all shapes.
 	Shapes = []Shape{SmallShape, GrownShape, FarShape, SlowShape}
@@ -49,8 +49,8 @@
 	Load, Down float64
 }
 
-// On returns the pattern's phases for a shape.
-func (p Pattern) On(s Shape) []Phase {
+// PhasesFor returns the pattern's phases for a shape.
+func (p Pattern) PhasesFor(s Shape) []Phase {
 	var list []Phase
 	for _, ph := range p.Phases {
 		list = append(list, Phase{Length: ph.Length, PerSecond: s.Load(ph.Load), Down: ph.Down})
--- a/core/model/play.go
+++ b/core/model/play.go
@@ -19,11 +19,11 @@
 
 // Second counts the requests that were made in one second by their outcome.
 type Second struct {
-	// Asked is their number. InAim of them were answered within the objective, Late
+	// Asked is their number. InTime of them were answered within the objective, Late
 	// within the deadline.
-	Asked, InAim, Late, Refused int
-	// Known is the number that ran on a target that had their object cached.
-	Known int
+	Asked, InTime, Late, Refused int
+	// Hits is the number that ran on a target that had their object cached.
+	Hits int
 }
 
 // Result is the outcome of a simulation by seconds.
@@ -35,26 +35,26 @@
 func (r Result) sum(from, to int) (sum Second) {
 	for _, s := range r.Seconds[from:min(to, len(r.Seconds))] {
 		sum.Asked += s.Asked
-		sum.InAim += s.InAim
+		sum.InTime += s.InTime
 		sum.Late += s.Late
 		sum.Refused += s.Refused
-		sum.Known += s.Known
+		sum.Hits += s.Hits
 	}
 	return sum
 }
 
-// InAim returns the fraction of the requests made in the seconds [from, to) that was
+// InTime returns the fraction of the requests made in the seconds [from, to) that was
 // answered within the objective.
-func (r Result) InAim(from, to int) float64 {
+func (r Result) InTime(from, to int) float64 {
 	s := r.sum(from, to)
-	return float64(s.InAim) / max(1, float64(s.Asked))
+	return float64(s.InTime) / max(1, float64(s.Asked))
 }
 
-// Known returns the fraction of the requests made in the seconds [from, to) that ran
+// HitRate returns the fraction of the requests made in the seconds [from, to) that ran
 // on a target that had the object cached.
-func (r Result) Known(from, to int) float64 {
+func (r Result) HitRate(from, to int) float64 {
 	s := r.sum(from, to)
-	return float64(s.Known) / max(1, float64(s.Asked))
+	return float64(s.Hits) / max(1, float64(s.Asked))
 }
 
 // Refused returns the fraction of the requests made in the seconds [from, to) that was
@@ -108,8 +108,8 @@
 	seconds   []Second
 }
 
-// Play simulates phases with a policy. The same arguments give the same result.
-func Play(shape Shape, p Policy, seed uint64, phases []Phase) Result {
+// Simulate simulates phases with a policy. The same arguments give the same result.
+func Simulate(shape Shape, p Policy, seed uint64, phases []Phase) Result {
 	sim := &simulation{shape: shape, policy: p, rnd: rand.New(rand.NewPCG(seed, 1))}
 	for range shape.Targets {
 		sim.upstreams = append(sim.upstreams, &upstream{cached: map[string]*list.Element{}, lru: list.New()})
@@ -165,7 +165,7 @@
 	if vm%sim.shape.Regions == i%sim.shape.Regions {
 		return 0
 	}
-	return sim.shape.FarTrip
+	return sim.shape.CrossRegionRTT
 }
 
 // receive is the arrival of a request at a target, which runs, queues or refuses it.
@@ -184,10 +184,10 @@
 func (sim *simulation) startWork(now time.Time, r *request, i int) {
 	u := sim.upstreams[i]
 	u.running++
-	work := sim.shape.WorkNew
-	if u.access(r.key, sim.shape.Knows) {
-		work = sim.shape.WorkKnown
-		sim.second(r).Known++
+	work := sim.shape.WorkMiss
+	if u.access(r.key, sim.shape.CacheSize) {
+		work = sim.shape.WorkHit
+		sim.second(r).Hits++
 	}
 	work = time.Duration(float64(work) * (1 - workJitter + 2*workJitter*sim.rnd.Float64()))
 	sim.events.Add(now.Add(work), func(now time.Time) { sim.finishWork(now, r, i) })
@@ -216,8 +216,8 @@
 		switch {
 		case refused:
 			sim.second(r).Refused++
-		case took <= sim.shape.Aim:
-			sim.second(r).InAim++
+		case took <= sim.shape.Objective:
+			sim.second(r).InTime++
 		case took <= sim.shape.Deadline:
 			sim.second(r).Late++
 		}
--- a/core/model/policy.go
+++ b/core/model/policy.go
@@ -35,8 +35,8 @@
 // Far implements State.
 func (sim *simulation) Far(vm, target int) bool { return sim.rtt(vm, target) > 0 }
 
-// Ours is the Policy of the production Balancer, one for each VM.
-type Ours struct {
+// BalancerPolicy is the Policy of the production Balancer, one for each VM.
+type BalancerPolicy struct {
 	shape Shape
 	vms   []*balance.Balancer
 	// updates has the placements published in each region, in order, and applied the
@@ -54,9 +54,9 @@
 // propagationDelay is the time that a placement takes to reach the other VMs.
 const propagationDelay = 25 * time.Millisecond
 
-// NewOurs returns a policy whose Balancers have the targets and no other state.
-func NewOurs(shape Shape) *Ours {
-	o := &Ours{shape: shape, updates: make([][]placementUpdate, shape.Regions), applied: make([]int, shape.VMs)}
+// NewBalancerPolicy returns a policy whose Balancers have the targets and no other state.
+func NewBalancerPolicy(shape Shape) *BalancerPolicy {
+	o := &BalancerPolicy{shape: shape, updates: make([][]placementUpdate, shape.Regions), applied: make([]int, shape.VMs)}
 	for i := range shape.VMs {
 		b := balance.New(fmt.Sprint("vm", i), shape.region(i), shape.region(i))
 		b.Join()
@@ -67,16 +67,16 @@
 }
 
 // Targets implements Policy.
-func (o *Ours) Targets(down float64) {
+func (o *BalancerPolicy) Targets(down float64) {
 	for _, b := range o.vms {
 		b.SetTargets(o.shape.targetList(down))
 	}
 }
 
 // Choose implements Policy.
-func (o *Ours) Choose(now time.Time, vm int, key string, _ State) (int, balance.Lease) {
+func (o *BalancerPolicy) Choose(now time.Time, vm int, key string, _ State) (int, balance.Lease) {
 	o.applyUpdates(now, vm)
-	l, err := o.vms[vm].Choose(now, balance.Request{Service: service, Key: key, Urgent: true, Objective: o.shape.Aim, Within: o.shape.Aim})
+	l, err := o.vms[vm].Choose(now, balance.Request{Service: service, Key: key, Urgent: true, Objective: o.shape.Objective, Within: o.shape.Objective})
 	if err != nil {
 		return -1, l
 	}
@@ -92,14 +92,14 @@
 }
 
 // applyUpdates merges into a VM's Balancer the placements that have reached the VM.
-func (o *Ours) applyUpdates(now time.Time, vm int) {
+func (o *BalancerPolicy) applyUpdates(now time.Time, vm int) {
 	for list := o.updates[vm%o.shape.Regions]; o.applied[vm] < len(list) && !now.Before(list[o.applied[vm]].at); o.applied[vm]++ {
 		o.vms[vm].Told(now, list[o.applied[vm]].list)
 	}
 }
 
 // Done implements Policy.
-func (o *Ours) Done(now time.Time, vm int, l balance.Lease, busy int) {
+func (o *BalancerPolicy) Done(now time.Time, vm int, l balance.Lease, busy int) {
 	slots := o.shape.Slots
 	o.vms[vm].Done(now, l, balance.Outcome{
 		Answered: true, Load: &balance.Load{Running: min(busy, slots), Waiting: max(0, busy-slots), Slots: slots},
--- a/core/model/shape.go
+++ b/core/model/shape.go
@@ -17,21 +17,21 @@
 	// Slots is the number of requests that a target runs at once, Queue the number that
 	// wait there.
 	Slots, Queue int
-	// Knows is the number of objects that a target caches, Objects their total number.
-	Knows, Objects int
-	// WorkNew and WorkKnown are the average work on an object that a target has not
+	// CacheSize is the number of objects that a target caches, Objects their total number.
+	CacheSize, Objects int
+	// WorkMiss and WorkHit are the average work on an object that a target has not
 	// cached and on one that it has.
-	WorkNew, WorkKnown time.Duration
-	// Aim is the objective for the latency, and callers cancel after Deadline.
-	Aim, Deadline time.Duration
-	// FarTrip is the RTT between regions.
-	FarTrip time.Duration
+	WorkMiss, WorkHit time.Duration
+	// Objective is the objective for the latency, and callers cancel after Deadline.
+	Objective, Deadline time.Duration
+	// CrossRegionRTT is the RTT between regions.
+	CrossRegionRTT time.Duration
 }
 
 // Load returns the rate of requests per second that occupies a fraction of all slots
 // when all objects are cached.
 func (s Shape) Load(part float64) float64 {
-	return part * float64(s.Targets*s.Slots) / s.WorkKnown.Seconds()
+	return part * float64(s.Targets*s.Slots) / s.WorkHit.Seconds()
 }
 
 // Phase is a period with a constant rate of requests.
--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -15,7 +15,7 @@
 //	d := t.Since(now, version)           // For a peer whose replica is at version.
 //	t.Renew(version, asOf)               // A response proved that version was the newest.
 //	rows, expired := t.Changed()         // What has changed since the last call.
-//	asOf, changes := t.Sure()            // As of when the replica was certainly the newest.
+//	asOf, changes := t.VerifiedAsOf()    // As of when the replica was certainly the newest.
 package replica
 
 import (
@@ -55,10 +55,10 @@
 	Version uint64
 	// Age is the time since the platform confirmed the version as its newest.
 	Age time.Duration
-	// SureAge is the time since the moment as of which the version was certainly the newest,
+	// VerifiedAge is the time since the moment as of which the version was certainly the newest,
 	// suspensions included, as measured by the VM that sends the head. Age may be too low by
 	// the duration of a message or a suspension.
-	SureAge time.Duration
+	VerifiedAge time.Duration
 }
 
 // Delta brings a replica that is at version From or later up to To.
@@ -67,9 +67,9 @@
 	To   Head
 	// Whole deltas list all rows: any row that they do not list is removed.
 	Whole bool
-	// Told deltas come from a peer: AfterGap of their removed rows is valid.
-	Told bool
-	Rows []Row
+	// FromPeer deltas come from a peer: AfterGap of their removed rows is valid.
+	FromPeer bool
+	Rows     []Row
 	// Changes is the number of changes of the replica that the delta was taken from. While
 	// it stays the same, so do the replica's rows, except that tombstones may expire.
 	Changes uint64
@@ -138,7 +138,7 @@
 	return &Table{name: name, equivalent: equivalent, rows: make(map[string]*storedRow), changedKeys: make(map[string]struct{})}
 }
 
-// Head returns the version and age of the replica. It does not set SureAge.
+// Head returns the version and age of the replica. It does not set VerifiedAge.
 func (t *Table) Head(now time.Time) Head {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -164,9 +164,9 @@
 	}
 }
 
-// Sure returns the moment as of which the replica certainly was the newest, and the number
+// VerifiedAsOf returns the moment as of which the replica certainly was the newest, and the number
 // of its changes, as Rows does.
-func (t *Table) Sure() (asOf lease.Moment, changes uint64) {
+func (t *Table) VerifiedAsOf() (asOf lease.Moment, changes uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.verified.AsOf(), t.changes
@@ -192,7 +192,7 @@
 		t.epoch = now
 	}
 	for i := range d.Rows {
-		changed = t.put(now, &d.Rows[i], d.Told) || changed
+		changed = t.put(now, &d.Rows[i], d.FromPeer) || changed
 	}
 	if d.Whole {
 		changed = t.removeOthers(now, d) || changed
@@ -346,9 +346,9 @@
 	return d
 }
 
-// Newest returns the highest version of a present or removed row. The table's own
+// NewestRowVersion returns the highest version of a present or removed row. The table's own
 // version also rises with changes to equivalent values.
-func (t *Table) Newest() uint64 {
+func (t *Table) NewestRowVersion() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.newestRow
--- a/core/replica/replica_test.go
+++ b/core/replica/replica_test.go
@@ -196,7 +196,7 @@
 			other.Apply(start, there)
 			other.Apply(start.Add(time.Second), gone)
 			d := other.Since(late, 1)
-			d.Told = true
+			d.FromPeer = true
 			return d
 		}, false},
 		{"from a peer that was behind too", func() replica.Delta {
@@ -204,7 +204,7 @@
 			other.Apply(start, there)
 			other.Apply(late, gone)
 			d := other.Since(late, 1)
-			d.Told = true
+			d.FromPeer = true
 			return d
 		}, true},
 	} {
--- a/core/replica/since_test.go
+++ b/core/replica/since_test.go
@@ -47,7 +47,7 @@
 			}
 			c := replicas[r.IntN(len(replicas))]
 			d := source.Since(now, c.Head(now).Version)
-			d.Told = true
+			d.FromPeer = true
 			c.Apply(now, d)
 			list, _ := c.Rows()
 			n := 0
--- a/io/entry/copies.go
+++ b/io/entry/copies.go
@@ -282,7 +282,7 @@
 		return false
 	}
 	// The moment is asked for first: the rows are as new as that or newer.
-	asOf, _ := v.replicas[TableRules].Sure()
+	asOf, _ := v.replicas[TableRules].VerifiedAsOf()
 	rules, changes, err := v.readRules()
 	if err != nil {
 		v.log.WithField("Err", err).Error("RulesNotDecoded")
--- a/io/entry/directory.go
+++ b/io/entry/directory.go
@@ -84,7 +84,7 @@
 // none: it is cut off, and its caller better asks another where to go.
 func (v *VM) unsure(now time.Time, region string) []*member.VM {
 	list := slices.DeleteFunc(v.liveIn(now, region), func(vm *member.VM) bool { return vm.Leaving })
-	alone := len(v.members.Mates(now)) > 0 && len(v.members.Live(now)) < 2
+	alone := len(v.members.Peers(now)) > 0 && len(v.members.Live(now)) < 2
 	if v.serving() && !alone && (region == v.cfg.Load().Region || len(list) == 0) {
 		list = append(list, v.self(now))
 	}
@@ -94,7 +94,7 @@
 // takers returns the VMs that take callers' requests, those of a region and the
 // others.
 func (v *VM) takers(now time.Time, region string) (near, far []*member.VM) {
-	for other, vms := range v.takersByRegion(now, v.members.Mates(now)) {
+	for other, vms := range v.takersByRegion(now, v.members.Peers(now)) {
 		if other == region {
 			near = vms
 		} else {
--- a/io/entry/exchange.go
+++ b/io/entry/exchange.go
@@ -44,7 +44,7 @@
 	for _, vm := range mates {
 		near[vm.Address.Peer] = true
 	}
-	if m, ok := v.members.Mate(now, member.Partner(namesOf(mates), cfg.Name, rand.Int())); ok {
+	if m, ok := v.members.FindPeer(now, member.Partner(namesOf(mates), cfg.Name, rand.Int())); ok {
 		v.startExchange(ctx, &exchange{vm: v, addr: m.VM.Address.Peer, zone: cfg.Zone, members: v.members})
 	}
 	partners := v.partners(now)
@@ -88,7 +88,7 @@
 // not or are only known by an address.
 func (v *VM) heard(now time.Time) (live, others []string) {
 	var silent []string
-	for _, m := range v.members.Mates(now) {
+	for _, m := range v.members.Peers(now) {
 		switch m.State {
 		case member.Live, member.Leaving:
 			live = append(live, m.VM.Address.Peer)
--- a/io/entry/limits.go
+++ b/io/entry/limits.go
@@ -69,7 +69,7 @@
 		ask := i == 0 || v.limits.Age(now) > secondAfter
 		if name == v.cfg.Load().Name {
 			t.tellSelf(now, demand, ask)
-		} else if m, ok := v.members.Mate(now, name); ok {
+		} else if m, ok := v.members.FindPeer(now, name); ok {
 			t.peer.TellDemand(m.VM.Address.Peer, demand, ask)
 		}
 	}
@@ -91,7 +91,7 @@
 	for _, vm := range v.sending(now).vms {
 		if vm.Name == cfg.Name {
 			addrs = append(addrs, cfg.PeerAddr)
-		} else if m, ok := v.members.Mate(now, vm.Name); ok {
+		} else if m, ok := v.members.FindPeer(now, vm.Name); ok {
 			addrs = append(addrs, m.VM.Address.Peer)
 		}
 	}
--- a/io/entry/members.go
+++ b/io/entry/members.go
@@ -112,8 +112,8 @@
 // matesSum stands for what the other VMs tell of themselves, and whether they are heard.
 func (v *VM) matesSum(now time.Time) uint64 {
 	var sum uint64
-	for _, m := range v.members.Mates(now) {
-		x := m.Stamp.Content() + uint64(m.State)
+	for _, m := range v.members.Peers(now) {
+		x := m.Stamp.ContentHash() + uint64(m.State)
 		if now.Sub(m.Heard) < forgetAfter {
 			x = ^x
 		}
@@ -131,7 +131,7 @@
 	cfg := v.cfg.Load()
 	s := senders{self: v.traffic.Traffic(now).Requests > 0}
 	sending := map[string]string{cfg.Name: cfg.Region}
-	mates := v.members.Mates(now)
+	mates := v.members.Peers(now)
 	for _, m := range mates {
 		if m.State != member.Gone && now.Sub(m.Heard) < forgetAfter && m.VM.Traffic.Requests > 0 {
 			sending[m.VM.Name] = cfg.Regions[m.VM.Zone]
@@ -161,7 +161,7 @@
 // of what VMs have in common must count those that are only cut off.
 func (v *VM) knownNames(now time.Time) []string {
 	names := []string{v.cfg.Load().Name}
-	for _, m := range v.members.Mates(now) {
+	for _, m := range v.members.Peers(now) {
 		if m.State != member.Gone && now.Sub(m.Heard) < forgetAfter {
 			names = append(names, m.VM.Name)
 		}
@@ -192,7 +192,7 @@
 // peerAddrs are the addresses of all other VMs.
 func (v *VM) peerAddrs(now time.Time) map[string]bool {
 	known := make(map[string]bool)
-	for _, m := range v.members.Mates(now) {
+	for _, m := range v.members.Peers(now) {
 		known[m.VM.Address.Peer] = true
 	}
 	return known
--- a/io/entry/metrics.go
+++ b/io/entry/metrics.go
@@ -171,7 +171,7 @@
 			VMs     any
 			Targets any
 			Bans    any
-		}{v.Figures(now), v.members.Mates(now), v.balancer.Dump(now), dumpBans(v.guard.Ledger().Bans())})
+		}{v.Figures(now), v.members.Peers(now), v.balancer.Dump(now), dumpBans(v.guard.Ledger().Bans())})
 	})
 	return mux
 }
--- a/io/entry/placement.go
+++ b/io/entry/placement.go
@@ -182,7 +182,7 @@
 func (v *VM) zoneMates(now time.Time) []*member.VM {
 	zone := v.cfg.Load().Zone
 	var list []*member.VM
-	for _, m := range v.members.Mates(now) {
+	for _, m := range v.members.Peers(now) {
 		if m.State == member.Live && m.VM.Zone == zone {
 			list = append(list, m.VM)
 		}
@@ -202,7 +202,7 @@
 func (v *VM) liveIn(now time.Time, region string) []*member.VM {
 	regions := v.cfg.Load().Regions
 	var list []*member.VM
-	for _, m := range v.members.Mates(now) {
+	for _, m := range v.members.Peers(now) {
 		if m.State == member.Live && regions[m.VM.Zone] == region {
 			list = append(list, m.VM)
 		}
--- a/io/entry/push.go
+++ b/io/entry/push.go
@@ -81,11 +81,11 @@
 	from := p.remember(now)
 	var list []replica.Delta
 	for name, t := range p.vm.replicas {
-		if !t.Loaded() || t.Newest() <= p.sent[name] {
+		if !t.Loaded() || t.NewestRowVersion() <= p.sent[name] {
 			continue
 		}
 		first := p.sent[name] == 0
-		p.sent[name] = t.Newest()
+		p.sent[name] = t.NewestRowVersion()
 		if d := t.Since(now, from[name]); !first && len(d.Rows) <= maxPushed {
 			list = append(list, d)
 		}
@@ -140,7 +140,7 @@
 func (p *pusher) receivers(now time.Time) []string {
 	var near, far []string
 	cfg := p.vm.cfg.Load()
-	for _, m := range p.vm.members.Mates(now) {
+	for _, m := range p.vm.members.Peers(now) {
 		switch {
 		case m.State != member.Live:
 		case cfg.Regions[m.VM.Zone] == cfg.Region:
--- a/io/entry/quarantine.go
+++ b/io/entry/quarantine.go
@@ -93,7 +93,7 @@
 // Mates implements quarantine.Fleet.
 func (f fleet) Mates(now time.Time) []string {
 	var addrs []string
-	for _, m := range f.members.Mates(now) {
+	for _, m := range f.members.Peers(now) {
 		if m.State != member.Gone && now.Sub(m.Heard) < forgetAfter {
 			addrs = append(addrs, m.VM.Address.Peer)
 		}
@@ -112,7 +112,7 @@
 // HearsAllZones implements quarantine.Fleet.
 func (f fleet) HearsAllZones(now time.Time, within time.Duration) bool {
 	newest := make(map[string]time.Duration)
-	for _, m := range f.members.Mates(now) {
+	for _, m := range f.members.Peers(now) {
 		age := now.Sub(m.Heard)
 		if m.State == member.Gone || age >= forgetAfter {
 			continue
--- a/io/entry/teams.go
+++ b/io/entry/teams.go
@@ -39,7 +39,7 @@
 	if ruled == nil {
 		return lease.Never
 	}
-	asOf, changes := v.replicas[TableRules].Sure()
+	asOf, changes := v.replicas[TableRules].VerifiedAsOf()
 	if changes != ruled.changes {
 		asOf = ruled.asOf // The copy has changed since, and is not in force yet.
 	}
--- a/io/entry/watchers.go
+++ b/io/entry/watchers.go
@@ -89,7 +89,7 @@
 func (v *VM) peerAddrsOf(now time.Time, names []string) []string {
 	var addrs []string
 	for _, name := range names {
-		if m, ok := v.members.Mate(now, name); ok {
+		if m, ok := v.members.FindPeer(now, name); ok {
 			addrs = append(addrs, m.VM.Address.Peer)
 		}
 	}
@@ -105,7 +105,7 @@
 // leaves. How far each is from the platform is left out where that does not matter.
 func (v *VM) candidates(now time.Time) []watch.VM {
 	byTrip := v.targets.count() >= nearFrom
-	mates := v.members.Mates(now)
+	mates := v.members.Peers(now)
 	list := make([]watch.VM, 0, len(mates)+1)
 	add := func(name string, trip time.Duration, cores float64) {
 		if !byTrip {
--- a/io/peer/client.go
+++ b/io/peer/client.go
@@ -84,7 +84,7 @@
 		if err != nil {
 			return err
 		}
-		t.Take(time.Now(), delta)
+		t.MergeDelta(time.Now(), delta)
 		if len(delta.Want) == 0 {
 			return nil
 		}
--- a/io/peer/replica.go
+++ b/io/peer/replica.go
@@ -35,7 +35,7 @@
 	heads := make(map[string]replica.Head, len(r))
 	for name, t := range r {
 		h := t.Head(now)
-		h.SureAge = sureAge(t)
+		h.VerifiedAge = sureAge(t)
 		heads[name] = h
 	}
 	return heads
@@ -43,7 +43,7 @@
 
 // sureAge is how long ago the copy certainly was the newest.
 func sureAge(t *replica.Table) time.Duration {
-	asOf, _ := t.Sure()
+	asOf, _ := t.VerifiedAsOf()
 	return asOf.Age(clock.Boot())
 }
 
@@ -52,7 +52,7 @@
 func (r Replicas) renew(asked lease.Moment, theirs map[string]replica.Head) {
 	for name, h := range theirs {
 		if t := r[name]; t != nil {
-			t.Renew(h.Version, lease.AsOf(asked, h.SureAge))
+			t.Renew(h.Version, lease.AsOf(asked, h.VerifiedAge))
 		}
 	}
 }
@@ -136,7 +136,7 @@
 	if err != nil {
 		return nil, err
 	}
-	members.Take(time.Now(), delta)
+	members.MergeDelta(time.Now(), delta)
 	wanted := members.Get(time.Now(), scope(zone), delta.Want)
 	if zones := reply.GetDiffering(); len(zones) > 0 {
 		differing := member.Scope{Zones: zones}
@@ -149,7 +149,7 @@
 		if delta, err = wire.Delta(answer); err != nil {
 			return nil, err
 		}
-		members.Take(time.Now(), delta)
+		members.MergeDelta(time.Now(), delta)
 		wanted = append(wanted, members.Get(time.Now(), differing, delta.Want)...)
 	}
 	return wire.FromEntries(wanted), nil
@@ -233,7 +233,7 @@
 		return nil, err
 	}
 	now := time.Now()
-	s.members.Take(now, delta)
+	s.members.MergeDelta(now, delta)
 	if s.replicas.apply(now, tables) {
 		s.changed()
 	}
--- a/io/peer/replica_test.go
+++ b/io/peer/replica_test.go
@@ -72,10 +72,10 @@
 			if rows, _ := older.replicas["t"].Rows(); len(rows) != 1 || string(rows[0].Value) != "v" {
 				t.Errorf("the older copy has %v", rows)
 			}
-			if got := len(a.members.Mates(time.Now())); got != tc.wantMembers {
+			if got := len(a.members.Peers(time.Now())); got != tc.wantMembers {
 				t.Errorf("the asking VM knows %d others, want %d", got, tc.wantMembers)
 			}
-			if got := len(b.members.Mates(time.Now())); got != tc.wantMembers {
+			if got := len(b.members.Peers(time.Now())); got != tc.wantMembers {
 				t.Errorf("the answering VM knows %d others, want %d", got, tc.wantMembers)
 			}
 		})
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.table.Take(time.Now(), d)
+	s.table.MergeDelta(time.Now(), d)
 	return &schema.Ack{}, nil
 }
 
--- a/io/platform/client.go
+++ b/io/platform/client.go
@@ -115,14 +115,14 @@
 }
 
 // VMs reads the platform's list of VMs, which lags.
-func (c *Client) VMs(ctx context.Context) ([]member.Listed, error) {
+func (c *Client) VMs(ctx context.Context) ([]member.ListedVM, error) {
 	reply := &schema.VmList{}
 	if err := c.call(ctx, "list VMs", http.MethodGet, "/vms", nil, reply); err != nil {
 		return nil, err
 	}
-	list := make([]member.Listed, 0, len(reply.GetVms()))
+	list := make([]member.ListedVM, 0, len(reply.GetVms()))
 	for _, vm := range reply.GetVms() {
-		list = append(list, member.Listed{Name: vm.GetName(), Zone: vm.GetZone(), Peer: vm.GetPeerAddr(), Leaving: vm.GetLeaving()})
+		list = append(list, member.ListedVM{Name: vm.GetName(), Zone: vm.GetZone(), Peer: vm.GetPeerAddr(), Leaving: vm.GetLeaving()})
 	}
 	return list, nil
 }
--- a/io/vm/directory.go
+++ b/io/vm/directory.go
@@ -50,7 +50,7 @@
 
 // Mate implements route.Directory.
 func (v *VM) Mate(name string) (member.Address, bool) {
-	m, ok := v.table.Mate(time.Now(), name)
+	m, ok := v.table.FindPeer(time.Now(), name)
 	if !ok || (m.State != member.Live && m.State != member.Leaving) {
 		return member.Address{}, false
 	}
--- a/io/vm/health.go
+++ b/io/vm/health.go
@@ -123,7 +123,7 @@
 // probe itself.
 func (v *VM) takeHealth(now time.Time, inv *inventory.Inventory) {
 	found := make(map[string]dispatch.Health)
-	for _, m := range v.table.Mates(now) {
+	for _, m := range v.table.Peers(now) {
 		if m.State != member.Live {
 			continue
 		}
--- a/io/vm/heartbeat.go
+++ b/io/vm/heartbeat.go
@@ -89,7 +89,7 @@
 
 // view states for the pool what is known of the zone.
 func (v *VM) view(now time.Time, inv *inventory.Inventory) dispatch.View {
-	fresh := v.table.Fresh(now, member.JoinHold{Listed: v.joinHold(), Unlisted: v.cfg.Timing.JoinHold})
+	fresh := v.table.Synced(now, member.JoinHold{Listed: v.joinHold(), Unlisted: v.cfg.Timing.JoinHold})
 	view := dispatch.View{
 		Targets: inv.ZoneTargets(v.cfg.Zone), Services: inv.Services,
 		Live: v.table.Dispatching(now, fresh), Seq: v.table.NextSeq(), Synced: fresh,
@@ -98,7 +98,7 @@
 	for _, t := range view.Targets {
 		view.Drained[t.Name] = inv.TargetDrained(t)
 	}
-	for _, m := range v.table.Mates(now) {
+	for _, m := range v.table.Peers(now) {
 		view.Peers = append(view.Peers, dispatch.PeerView{
 			VM: m.VM.Name, Held: m.VM.Held, Acked: m.VM.Acks[v.cfg.Name], Gone: m.State == member.Gone,
 		})
@@ -149,12 +149,12 @@
 	global := v.beats.Load()%globalBeats == 0
 	own := member.Scope{Zone: v.cfg.Zone, Global: global}
 	var mates, strangers []partner
-	for _, m := range v.table.Mates(now) {
+	for _, m := range v.table.Peers(now) {
 		if m.State != member.Gone {
 			mates = append(mates, partner{m.VM.Address.Peer, own})
 		}
 	}
-	for _, l := range v.table.Strangers() {
+	for _, l := range v.table.UnseenPeers() {
 		strangers = append(strangers, partner{l.Peer, own})
 	}
 	list := append(sample(mates, matesPerBeat), sample(strangers, matesPerBeat)...)
@@ -225,7 +225,7 @@
 // catchUp pulls the inventory from a mate that has a higher version.
 func (v *VM) catchUp(ctx context.Context) {
 	own := v.config.Inventory().Version
-	for _, m := range v.table.Mates(time.Now()) {
+	for _, m := range v.table.Peers(time.Now()) {
 		if m.VM.Version <= own || m.State == member.Gone || m.State == member.Silent {
 			continue
 		}
@@ -284,6 +284,6 @@
 			v.log.WithField("Err", err).Warn("PlatformListNotRead")
 			return
 		}
-		v.table.SetListed(time.Now(), list)
+		v.table.SetPlatformList(time.Now(), list)
 	})
 }
--- a/io/vm/leave.go
+++ b/io/vm/leave.go
@@ -70,7 +70,7 @@
 	defer cancel()
 	now := time.Now()
 	v.beat(now)
-	for _, m := range v.table.Mates(now) {
+	for _, m := range v.table.Peers(now) {
 		if m.State == member.Live || m.State == member.Leaving {
 			_ = v.peers.Exchange(ctx, m.VM.Address.Peer, v.table, v.cfg.Zone, member.Scope{Zone: v.cfg.Zone})
 		}
--- a/io/vm/operator.go
+++ b/io/vm/operator.go
@@ -93,7 +93,7 @@
 		Zones: v.zoneStatus(now), Targets: targetDumps(v.pool.Targets()),
 		RequestsInFlight: int32(v.callers.InFlight()), PlatformAge: v.platformAge(now),
 	}
-	for _, m := range v.table.Mates(now) {
+	for _, m := range v.table.Peers(now) {
 		d.Members = append(d.Members, &schema.MemberDump{
 			Name: m.VM.Name, State: m.State.String(), Incarnation: m.Stamp.Incarnation, Seq: m.Stamp.Seq,
 			Age: durationpb.New(now.Sub(m.Heard)), Version: m.VM.Version,
--- a/io/vm/steer.go
+++ b/io/vm/steer.go
@@ -45,7 +45,7 @@
 		return
 	}
 	now := time.Now()
-	for _, m := range v.table.Mates(now) {
+	for _, m := range v.table.Peers(now) {
 		if m.State == member.Live && v.restoreFrom(ctx, m.VM.Address.Peer) {
 			return
 		}
--- a/io/wire/fuzz_test.go
+++ b/io/wire/fuzz_test.go
@@ -47,8 +47,8 @@
 		members := member.NewTable("self", "z", 1, now, member.WithReports())
 		members.Publish(now, member.VM{Name: "self", Zone: "z"})
 		if d, err := wire.Delta(m.GetDelta()); err == nil {
-			members.Take(now, d)
-			members.Mates(now)
+			members.MergeDelta(now, d)
+			members.Peers(now)
 			members.Answer(now, member.Scope{Zone: "z", Global: true}, d.Beats)
 		}
 		if list, err := wire.ReplicaDeltas(m.GetTables()); err == nil {
--- a/io/wire/replica.go
+++ b/io/wire/replica.go
@@ -24,7 +24,7 @@
 
 func head(m *schema.ReplicaHead) replica.Head {
 	return replica.Head{
-		Table: m.GetTable(), Version: m.GetVersion(), Age: time.Duration(m.GetAgeMillis()) * time.Millisecond, SureAge: sureAge(m.GetSureAgeMillis()),
+		Table: m.GetTable(), Version: m.GetVersion(), Age: time.Duration(m.GetAgeMillis()) * time.Millisecond, VerifiedAge: sureAge(m.GetSureAgeMillis()),
 	}
 }
 
@@ -48,8 +48,8 @@
 
 func fromHead(h replica.Head) *schema.ReplicaHead {
 	m := &schema.ReplicaHead{Table: h.Table, Version: h.Version, AgeMillis: h.Age.Milliseconds()}
-	if h.SureAge > 0 && h.SureAge < lease.Never {
-		m.SureAgeMillis = lease.Millis(h.SureAge)
+	if h.VerifiedAge > 0 && h.VerifiedAge < lease.Never {
+		m.SureAgeMillis = lease.Millis(h.VerifiedAge)
 	}
 	return m
 }
@@ -58,7 +58,7 @@
 func ReplicaDeltas(list []*schema.ReplicaDelta) ([]replica.Delta, error) {
 	out := make([]replica.Delta, 0, len(list))
 	for _, m := range list {
-		d := replica.Delta{From: m.GetFrom(), To: head(m.GetTo()), Whole: m.GetWhole(), Told: true}
+		d := replica.Delta{From: m.GetFrom(), To: head(m.GetTo()), Whole: m.GetWhole(), FromPeer: true}
 		rows, err := unpackRows(m)
 		if err != nil {
 			return nil, err
--- a/tools/experiment/draw.go
+++ b/tools/experiment/draw.go
@@ -39,7 +39,7 @@
 	for i, l := range lines {
 		var points plotter.XYs
 		for second := range len(l.result.Seconds) - 1 {
-			points = append(points, plotter.XY{X: float64(second), Y: l.result.InAim(second, second+1)})
+			points = append(points, plotter.XY{X: float64(second), Y: l.result.InTime(second, second+1)})
 		}
 		drawn, err := plotter.NewLine(points)
 		if err != nil {
--- a/tools/experiment/main.go
+++ b/tools/experiment/main.go
@@ -54,7 +54,7 @@
 }
 
 var contestants = []contestant{
-	{"ours", func(s model.Shape) model.Policy { return model.NewOurs(s) }},
+	{"ours", func(s model.Shape) model.Policy { return model.NewBalancerPolicy(s) }},
 	{"even", func(s model.Shape) model.Policy { return model.NewEven(s) }},
 	{"owner", func(s model.Shape) model.Policy { return model.NewOwner(s) }},
 	{"least used", func(s model.Shape) model.Policy { return model.NewLeastUsed(s) }},
@@ -98,7 +98,7 @@
 	for _, c := range contestants {
 		var sum row
 		for seed := range f.Seeds {
-			r := model.Play(s, c.New(s), uint64(seed), p.On(s))
+			r := model.Simulate(s, c.New(s), uint64(seed), p.PhasesFor(s))
 			sum.add(measure(r), 1/float64(f.Seeds))
 			if seed == 0 {
 				lines = append(lines, line{c.Name, r})
@@ -126,9 +126,9 @@
 // measure takes a play's figures. Its last second is cut off and left out.
 func measure(r model.Result) row {
 	n := len(r.Seconds) - 1
-	m := row{all: r.InAim(0, n), worst: 1, last: r.InAim(max(0, n-lastSpan), n), known: r.Known(0, n), refused: r.Refused(0, n)}
+	m := row{all: r.InTime(0, n), worst: 1, last: r.InTime(max(0, n-lastSpan), n), known: r.HitRate(0, n), refused: r.Refused(0, n)}
 	for from := 0; from+worstSpan <= n; from++ {
-		m.worst = min(m.worst, r.InAim(from, from+worstSpan))
+		m.worst = min(m.worst, r.InTime(from, from+worstSpan))
 	}
 	return m
 }
