--- a/core/balance/signals.go
+++ b/core/balance/signals.go
@@ -207,7 +207,7 @@
 		}
 		remaining := max(0, s.signals.pausedUntil.Sub(now))
 		if s.limited() {
-			next, ok := s.signals.limit.Next(now, b.senderRank(s))
+			next, ok := s.signals.limit.Delay(now, b.senderRank(s))
 			if !ok {
 				continue // Only other VMs may send to it.
 			}
--- a/io/entry/copies.go
+++ b/io/entry/copies.go
@@ -282,7 +282,7 @@
 		return false
 	}
 	// The moment is asked for first: the rows are as new as that or newer.
-	asOf, _ := v.replicas[TableRules].Sure()
+	asOf, _ := v.replicas[TableRules].VerifiedAsOf()
 	rules, changes, err := v.readRules()
 	if err != nil {
 		v.log.WithField("Err", err).Error("RulesNotDecoded")
@@ -320,7 +320,7 @@
 	v.registry.Heartbeat = v.cfg.Load().UpstreamHeartbeat
 	before := v.registry.Len()
 	change, soon := v.registry.Update(now, v.readTargets(), ev)
-	v.balancer.ChangeTargets(change.Set, change.Gone)
+	v.balancer.ChangeTargets(change.Updated, change.Gone)
 	ended := slices.Concat(change.Gone, v.registry.AtAddresses(change.Added))
 	v.guard.Replaced(v.work, now, incarnations(ended), incarnations(change.Added))
 	first := !v.targets.known()
--- a/io/entry/limits.go
+++ b/io/entry/limits.go
@@ -69,7 +69,7 @@
 		ask := i == 0 || v.limits.Age(now) > secondAfter
 		if name == v.cfg.Load().Name {
 			t.tellSelf(now, demand, ask)
-		} else if m, ok := v.members.Mate(now, name); ok {
+		} else if m, ok := v.members.FindPeer(now, name); ok {
 			t.peer.TellDemand(m.VM.Address.Peer, demand, ask)
 		}
 	}
@@ -91,7 +91,7 @@
 	for _, vm := range v.sending(now).vms {
 		if vm.Name == cfg.Name {
 			addrs = append(addrs, cfg.PeerAddr)
-		} else if m, ok := v.members.Mate(now, vm.Name); ok {
+		} else if m, ok := v.members.FindPeer(now, vm.Name); ok {
 			addrs = append(addrs, m.VM.Address.Peer)
 		}
 	}
@@ -113,12 +113,12 @@
 	if table == nil || used == nil {
 		return ratelimit.Total{}, false
 	}
-	l.collector.Told(now, addr, list, first)
+	l.collector.Record(now, addr, list, first)
 	age := now.Sub(l.started)
 	if age < collectAfter || age < joinHold && len(l.members.Live(now)) < 2 {
 		return ratelimit.Total{}, false
 	}
-	l.collector.Look(now, table.Teams.Teams(), l.limits.Hot)
+	l.collector.RefreshHot(now, table.Teams.Teams(), l.limits.Hot)
 	return l.collector.Total(now, list, *used), true
 }
 
--- a/io/entry/teams.go
+++ b/io/entry/teams.go
@@ -39,7 +39,7 @@
 	if ruled == nil {
 		return lease.Never
 	}
-	asOf, changes := v.replicas[TableRules].Sure()
+	asOf, changes := v.replicas[TableRules].VerifiedAsOf()
 	if changes != ruled.changes {
 		asOf = ruled.asOf // The copy has changed since, and is not in force yet.
 	}
@@ -68,7 +68,7 @@
 // from others: see package lease for why looking at the age once, here, is enough. The
 // request is then bound to what it was when its caller sent it, however long it waits.
 func (v *VM) identify(req *request, table *route.Table) *verdict.Error {
-	if table.Teams == nil || req.route.Open {
+	if table.Teams == nil || req.route.Unauthenticated {
 		return nil
 	}
 	if v.strict(table) && req.rulesAge > v.cfg.Load().RevokeWithin {
