--- a/io/route/router.go
+++ b/io/route/router.go
@@ -19,40 +19,43 @@
 	"auburnlatch/io/upstream"
 )
 
-// How often one request may go to another VM or upstream.
 const (
-	maxTries   = 3
-	remoteVMs  = 2
+	// maxAttempts bounds the attempts of one request, the first included.
+	maxAttempts = 3
+	// maxRemoteVMs is how many VMs of another zone are tried for one attempt.
+	maxRemoteVMs = 2
+	// retryAfter is the Retry-After of refusals.
 	retryAfter = time.Second
-	// minLeft is the time a request must have left to be sent again.
-	minLeft = 20 * time.Millisecond
+	// minRetryTime is the time that must be left until the deadline for a retry.
+	minRetryTime = 20 * time.Millisecond
 )
 
-// Upstreams sends a request to an upstream, once.
+// Upstreams sends a request to an upstream, without retries.
 type Upstreams interface {
 	Send(ctx context.Context, t *inventory.Target, shed []int, req *http.Request) (*http.Response, error)
 }
 
-// VMs sends a request to another VM, once.
+// VMs sends a request to another VM, without retries.
 type VMs interface {
 	Send(ctx context.Context, addr string, meta forward.Meta, req *http.Request) (*http.Response, error)
 }
 
-// Directory tells where other VMs are.
+// Directory gives the addresses of other VMs.
 type Directory interface {
-	// Mate returns the address of a VM of the own zone.
+	// Mate returns the address of a VM of the own zone. It returns false if the
+	// VM is unknown or cannot take requests.
 	Mate(name string) (member.Address, bool)
-	// ZoneVMs returns the VMs of another zone that take requests, those that
-	// dispatch the service first.
+	// ZoneVMs returns the VMs of another zone that take requests, the service's
+	// dispatchers first.
 	ZoneVMs(zone, service string) []member.Address
 }
 
-// Guard keeps requests that end upstreams from being sent on.
+// Guard holds back poison requests, which crash the upstreams that run them.
 type Guard interface {
-	// Admit decides whether a request may be sent on now.
+	// Admit decides whether a request may be sent to an upstream now.
 	Admit(now time.Time, req *poison.Request) (*poison.Trial, *verdict.Error)
-	// Begin notes that it is sent to a target. done takes in what came of it, nil: an
-	// answer that was read to its end.
+	// Begin records that the request is sent to a target. done records the outcome;
+	// a nil error means that the response was read to its end.
 	Begin(now time.Time, req *poison.Request, t *inventory.Target) (done func(now time.Time, e *verdict.Error))
 }
 
@@ -61,26 +64,25 @@
 	Service string
 	// Origin is the caller's zone.
 	Origin string
-	// Idempotent requests may be sent again when it is unknown whether they
-	// ran.
+	// Idempotent requests may be retried when it is unknown whether they ran.
 	Idempotent bool
 	Deadline   time.Time
 	Body       *Body
-	// HTTP has the method, the path within the service, and the headers.
+	// HTTP has the method, the path within the service, and the header fields.
 	HTTP *http.Request
-	// Identity is what the request is recognized by when it comes again; nil: it is not
-	// known.
+	// Identity is the fingerprint by which a repeated request is recognized; nil
+	// if it is not known.
 	Identity *poison.Request
 }
 
-// http returns the request for one more try.
-func (r *Request) http(ctx context.Context) *http.Request {
+// outgoing returns the HTTP request of one attempt.
+func (r *Request) outgoing(ctx context.Context) *http.Request {
 	req := r.HTTP.Clone(ctx)
 	req.Body = r.Body.Reader()
 	return req
 }
 
-// Router carries requests. Its fields are set before its first use.
+// Router routes requests. Its exported fields are set before its first use.
 type Router struct {
 	Self, Zone string
 	Pool       *dispatch.Pool
@@ -93,12 +95,12 @@
 	Directory  Directory
 	Guard      Guard
 
-	turn atomic.Uint64
+	nextRemote atomic.Uint64 // Rotates the VM of another zone that is tried first.
 }
 
-// Enter carries a caller's request to an upstream of the zone its origin's
-// weights say. It is sent again only on NotRun, or on MaybeRan where it is
-// idempotent, and within the retry budget.
+// Enter sends a caller's request to an upstream of a zone, picked by the weights
+// of the request's origin. It retries only on NotRun, or on MaybeRan if the
+// request is idempotent, and only within the retry budget.
 func (r *Router) Enter(ctx context.Context, req *Request) (*http.Response, error) {
 	rules := r.Pool.Rules(req.Service)
 	if rules == nil {
@@ -110,38 +112,38 @@
 	}
 	r.Budget.Request(time.Now(), rules.RetryBudget)
 	var last error
-	for try := 1; ; try++ {
-		resp, err := r.admitted(ctx, zone, req)
+	for attempt := 1; ; attempt++ {
+		resp, err := r.sendAdmitted(ctx, zone, req)
 		if err == nil {
 			return resp, nil
 		}
 		if last != nil && verdict.As(err).Reason == verdict.ReasonQuarantined && verdict.Of(last) != verdict.NotRun {
-			return nil, last // It may have run before it was held back.
+			return nil, last // An earlier attempt may have run.
 		}
 		last = err
-		if try == maxTries || !mayRetry(verdict.As(err), req) || !r.Budget.Retry(time.Now()) {
+		if attempt == maxAttempts || !mayRetry(verdict.As(err), req) || !r.Budget.Retry(time.Now()) {
 			return nil, err
 		}
 	}
 }
 
-// admitted sends a request to a zone unless it is held back.
-func (r *Router) admitted(ctx context.Context, zone string, req *Request) (*http.Response, error) {
+// sendAdmitted sends a request to a zone unless the guard refuses it.
+func (r *Router) sendAdmitted(ctx context.Context, zone string, req *Request) (*http.Response, error) {
 	if req.Identity == nil {
-		return r.toZone(ctx, zone, req)
+		return r.sendToZone(ctx, zone, req)
 	}
 	trial, refused := r.Guard.Admit(time.Now(), req.Identity)
 	if refused != nil {
 		return nil, refused
 	}
 	defer trial.Done()
-	return r.toZone(ctx, zone, req)
+	return r.sendToZone(ctx, zone, req)
 }
 
-// mayRetry reports whether a request may be sent again after an error. A full
-// queue is final: asking again at once only adds to it.
+// mayRetry reports whether a request may be retried after an error. A full
+// queue is final: an immediate retry would only add to the load.
 func mayRetry(e *verdict.Error, req *Request) bool {
-	if time.Until(req.Deadline) < minLeft || !req.Body.Rewindable() {
+	if time.Until(req.Deadline) < minRetryTime || !req.Body.Rewindable() {
 		return false
 	}
 	switch e.Reason {
@@ -152,27 +154,27 @@
 	return e.Verdict == verdict.NotRun || (e.Verdict == verdict.MaybeRan && req.Idempotent)
 }
 
-func (r *Router) toZone(ctx context.Context, zone string, req *Request) (*http.Response, error) {
+func (r *Router) sendToZone(ctx context.Context, zone string, req *Request) (*http.Response, error) {
 	if zone == r.Zone {
-		return r.local(ctx, req)
+		return r.sendLocal(ctx, req)
 	}
-	return r.remote(ctx, zone, req)
+	return r.sendRemote(ctx, zone, req)
 }
 
-// remote sends a request to a VM of another zone. One that cannot be reached
-// is passed over for the next; the request left for none of them.
-func (r *Router) remote(ctx context.Context, zone string, req *Request) (*http.Response, error) {
+// sendRemote sends a request to a VM of another zone. If a VM is unreachable,
+// nothing of the request was sent, so it goes to the next VM.
+func (r *Router) sendRemote(ctx context.Context, zone string, req *Request) (*http.Response, error) {
 	vms := r.Directory.ZoneVMs(zone, req.Service)
 	if len(vms) == 0 {
 		r.Reach.Record(time.Now(), zone, false)
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoCapacity, retryAfter)
 	}
-	first := int(r.turn.Add(1) % uint64(min(remoteVMs, len(vms))))
+	first := int(r.nextRemote.Add(1) % uint64(min(maxRemoteVMs, len(vms))))
 	var err error
-	for i := range min(remoteVMs, len(vms)) {
-		vm := vms[(first+i)%min(remoteVMs, len(vms))]
+	for i := range min(maxRemoteVMs, len(vms)) {
+		vm := vms[(first+i)%min(maxRemoteVMs, len(vms))]
 		var resp *http.Response
-		resp, err = r.VMs.Send(ctx, vm.Forward, req.meta(forward.Zone), req.http(ctx))
+		resp, err = r.VMs.Send(ctx, vm.Forward, req.meta(forward.Zone), req.outgoing(ctx))
 		if err == nil || verdict.As(err).Reason != verdict.ReasonUnreachable {
 			r.Reach.Record(time.Now(), zone, true)
 			return resp, err
@@ -193,30 +195,32 @@
 	return m
 }
 
-// Serve carries a request that another VM sent.
+// Serve handles a request that another VM sent, as its mode says.
 func (r *Router) Serve(ctx context.Context, meta forward.Meta, hr *http.Request) (*http.Response, error) {
 	req := &Request{
-		Service: meta.Service, Origin: meta.Origin, Deadline: meta.Deadline, HTTP: hr, Body: streamed(hr),
+		Service: meta.Service, Origin: meta.Origin, Deadline: meta.Deadline, HTTP: hr, Body: streamBody(hr),
 	}
 	if identity, ok := poison.ParseRequest(meta.Print); ok {
 		req.Identity = identity
 	}
 	switch meta.Mode {
 	case forward.Zone:
-		return r.local(ctx, req)
+		return r.sendLocal(ctx, req)
 	case forward.Offer:
 		if t, ok := r.Pool.Offer(time.Now(), req.Service); ok {
 			return r.send(ctx, t, req)
 		}
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonQueueFull, retryAfter)
 	default:
-		return r.queue(ctx, req)
+		return r.sendQueued(ctx, req)
 	}
 }
 
-// local runs a request in this zone: with a free slot of a dispatcher, this VM
-// first, else in the queue of the first dispatcher.
-func (r *Router) local(ctx context.Context, req *Request) (*http.Response, error) {
+// sendLocal runs a request in this zone. It takes a free slot of any dispatcher,
+// this VM's own slots first. If none is free it queues the request at this VM if
+// this VM is a dispatcher, else at the first dispatcher that refused for lack of
+// a slot.
+func (r *Router) sendLocal(ctx context.Context, req *Request) (*http.Response, error) {
 	dispatchers := r.Pool.Dispatchers(req.Service)
 	if len(dispatchers) == 0 {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoCapacity, retryAfter)
@@ -230,8 +234,8 @@
 			queueAt = name
 			continue
 		}
-		resp, err := r.toMate(ctx, name, forward.Offer, req)
-		if err == nil || !fullOrAway(err) || !req.Body.Rewindable() {
+		resp, err := r.sendToPeer(ctx, name, forward.Offer, req)
+		if err == nil || !mayTryNextPeer(err) || !req.Body.Rewindable() {
 			return resp, err
 		}
 		if queueAt == "" && verdict.As(err).Reason == verdict.ReasonQueueFull {
@@ -242,15 +246,16 @@
 	case "":
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoCapacity, retryAfter)
 	case r.Self:
-		return r.queue(ctx, req)
+		return r.sendQueued(ctx, req)
 	default:
-		return r.toMate(ctx, queueAt, forward.Queue, req)
+		return r.sendToPeer(ctx, queueAt, forward.Queue, req)
 	}
 }
 
-// fullOrAway reports whether a mate refused an offer so that another may be
-// asked.
-func fullOrAway(err error) bool {
+// mayTryNextPeer reports whether a request may be offered to the next peer after
+// an offer failed with err: it did not run, and the reason concerns only that
+// peer.
+func mayTryNextPeer(err error) bool {
 	e := verdict.As(err)
 	if e.Verdict != verdict.NotRun {
 		return false
@@ -263,16 +268,16 @@
 	}
 }
 
-func (r *Router) toMate(ctx context.Context, name string, mode forward.Mode, req *Request) (*http.Response, error) {
-	mate, ok := r.Directory.Mate(name)
+func (r *Router) sendToPeer(ctx context.Context, name string, mode forward.Mode, req *Request) (*http.Response, error) {
+	peer, ok := r.Directory.Mate(name)
 	if !ok {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonUnreachable, retryAfter)
 	}
-	return r.VMs.Send(ctx, mate.Forward, req.meta(mode), req.http(ctx))
+	return r.VMs.Send(ctx, peer.Forward, req.meta(mode), req.outgoing(ctx))
 }
 
-// queue waits for a slot of this VM's own.
-func (r *Router) queue(ctx context.Context, req *Request) (*http.Response, error) {
+// sendQueued waits for one of this VM's own slots and sends the request on it.
+func (r *Router) sendQueued(ctx context.Context, req *Request) (*http.Response, error) {
 	now := time.Now()
 	rules := r.Pool.Rules(req.Service)
 	if rules == nil {
@@ -282,7 +287,7 @@
 	if req.Deadline.Before(until) {
 		until = req.Deadline
 	}
-	t, err := r.Pool.Queue(now, req.Service, until)
+	ticket, err := r.Pool.Queue(now, req.Service, until)
 	if err != nil {
 		r.Meter.Refused(now, req.Service, req.Origin, dispatch.DefaultRequestDuration)
 		return nil, err
@@ -290,7 +295,7 @@
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	select {
-	case target := <-t.Granted:
+	case target := <-ticket.Granted:
 		if target == nil {
 			return nil, verdict.New(verdict.NotRun, verdict.ReasonLeaving, retryAfter)
 		}
@@ -298,13 +303,13 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	r.Pool.Cancel(time.Now(), t)
+	r.Pool.Cancel(time.Now(), ticket)
 	r.Meter.Refused(time.Now(), req.Service, req.Origin, dispatch.DefaultRequestDuration)
 	return nil, verdict.New(verdict.NotRun, verdict.ReasonQueueFull, retryAfter)
 }
 
-// sampleOf returns the outcome of a request that took a time.
-func sampleOf(err error, took time.Duration) dispatch.Sample {
+// newSample returns the outcome of a request that ended with err after took.
+func newSample(err error, took time.Duration) dispatch.Sample {
 	s := dispatch.Sample{Err: err, Took: took, Shed: err != nil && verdict.As(err).Reason == verdict.ReasonShed}
 	if shed := (*upstream.ShedError)(nil); errors.As(err, &shed) {
 		s.Pause = shed.Pause
@@ -312,8 +317,8 @@
 	return s
 }
 
-// send sends a request on a slot that is held, and gives the slot back when
-// the answer has been read.
+// send sends a request to t, of which it holds a slot. It releases the slot when
+// the response has been read or closed, or on an error.
 func (r *Router) send(ctx context.Context, t *inventory.Target, req *Request) (*http.Response, error) {
 	started := time.Now()
 	if !claim.MayDispatch(started, req.Deadline) {
@@ -321,23 +326,23 @@
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonDeadline, 0)
 	}
 	r.Meter.Acquired(started, req.Service, req.Origin)
-	run := func(time.Time, *verdict.Error) {}
+	ended := func(time.Time, *verdict.Error) {}
 	if req.Identity != nil {
-		run = r.Guard.Begin(started, req.Identity, t)
+		ended = r.Guard.Begin(started, req.Identity, t)
 	}
 	done := func(err error) {
 		now := time.Now()
 		if err == nil {
-			run(now, nil)
+			ended(now, nil)
 		} else {
-			run(now, verdict.As(err))
+			ended(now, verdict.As(err))
 		}
 		r.Meter.Released(now, req.Service, req.Origin)
-		r.Pool.Done(now, t.Name, sampleOf(err, now.Sub(started)))
+		r.Pool.Done(now, t.Name, newSample(err, now.Sub(started)))
 	}
-	hr := req.http(ctx)
+	hr := req.outgoing(ctx)
 	forward.StripOwn(hr.Header)
-	hr.Header.Set(forward.HeaderTimeout, millisLeft(started, req.Deadline))
+	hr.Header.Set(forward.HeaderTimeout, remainingMillis(started, req.Deadline))
 	var shed []int
 	if rules := r.Pool.Rules(req.Service); rules != nil {
 		shed = rules.ShedStatuses
--- a/io/route/slot.go
+++ b/io/route/slot.go
@@ -11,8 +11,8 @@
 	"auburnlatch/core/verdict"
 )
 
-// slotBody is an answer's body that holds a slot until it is read to its end
-// or closed.
+// slotBody is the body of a response. It calls done, which releases the slot,
+// when it is read to its end, fails or is closed.
 type slotBody struct {
 	io.ReadCloser
 	once sync.Once
@@ -31,14 +31,15 @@
 	return n, err
 }
 
-// Close implements io.Closer. A body closed before its end was given up by its
-// reader, which says nothing against the upstream.
+// Close implements io.Closer. If the body is closed before its end, its reader
+// canceled the request, which does not count against the upstream.
 func (b *slotBody) Close() error {
 	err := b.ReadCloser.Close()
 	b.once.Do(func() { b.done(verdict.New(verdict.Ran, verdict.ReasonCanceled, 0)) })
 	return err
 }
 
-func millisLeft(now, deadline time.Time) string {
+// remainingMillis returns the time from now to the deadline, in milliseconds.
+func remainingMillis(now, deadline time.Time) string {
 	return strconv.FormatInt(deadline.Sub(now).Milliseconds(), 10)
 }
