--- a/io/forward/client.go
+++ b/io/forward/client.go
@@ -10,19 +10,21 @@
 	"auburnlatch/io/upstream"
 )
 
-// expectAbove is the body size from which a VM asks before it sends one.
-const expectAbove = 16 << 10
+// expectThreshold is the body size, in bytes, above which a request is sent with
+// Expect: 100-continue.
+const expectThreshold = 16 << 10
 
 // Client sends requests to other VMs. It is safe for concurrent use.
 type Client struct {
 	http *upstream.Client
 }
 
-// NewClient returns a client with connections of its own.
+// NewClient returns a client with its own connection pool.
 func NewClient(opts ...upstream.Option) *Client { return &Client{http: upstream.NewClient(opts...)} }
 
-// Send sends a request to the VM at an address. The error's verdict is the
-// receiver's where it refused, else what the broken connection proves.
+// Send sends a request to the VM at addr. If the VM refuses the request, the
+// error has the verdict of the refusal; if the connection fails, the verdict
+// follows from how much was sent.
 func (c *Client) Send(ctx context.Context, addr string, meta Meta, req *http.Request) (*http.Response, error) {
 	out := req.Clone(ctx)
 	out.URL.Path = "/" + meta.Service + req.URL.Path
@@ -54,8 +56,8 @@
 	)
 }
 
-// LargeBody reports whether a request's body is worth asking for before it is
-// sent.
+// LargeBody reports whether the receiver should confirm a request, by Expect:
+// 100-continue, before its body is sent: the body is large or of unknown length.
 func LargeBody(req *http.Request) bool {
-	return req.ContentLength > expectAbove || (req.ContentLength < 0 && req.Body != nil && req.Body != http.NoBody)
+	return req.ContentLength > expectThreshold || (req.ContentLength < 0 && req.Body != nil && req.Body != http.NoBody)
 }
--- a/io/forward/doc.go
+++ b/io/forward/doc.go
@@ -1,11 +1,11 @@
-// Package forward carries callers' requests from one VM to another, as HTTP,
-// and holds what both ends of a request path share: which header fields go
-// from hop to hop, and how an answer is passed on.
+// Package forward sends callers' requests from one VM to another over HTTP. It
+// also holds what both ends of a request path share: which header fields are
+// passed from hop to hop, and how a response is relayed.
 //
-// Requests cross as HTTP and not by drpc, since a body must stream in both
-// directions under the reader's own pace, and a VM that has no slot must be able
-// to say so before the body is sent: Expect: 100-continue gives both.
-// docs/design/crossing.md has the measurement.
+// Requests are sent over HTTP and not over drpc, because bodies must stream in
+// both directions with flow control by the reader, and a VM without a free slot
+// must be able to refuse before the body is sent. HTTP with Expect: 100-continue
+// has both. docs/design/crossing.md has the measurement.
 //
 // # Usage
 //
@@ -16,28 +16,30 @@
 
 import "time"
 
-// Mode says what a VM is asked to do with a request.
+// Mode says how the receiving VM serves a request.
 type Mode string
 
-// The modes.
 const (
-	// Zone: serve it by any dispatcher of the receiver's zone.
+	// Zone serves the request by any dispatcher of the receiver's zone.
 	Zone Mode = "Zone"
-	// Offer: serve it with a free slot of the receiver's own, or refuse.
+	// Offer serves the request on a free slot of the receiver, or refuses it.
 	Offer Mode = "Offer"
-	// Queue: serve it with a slot of the receiver's own, waiting for one.
+	// Queue serves the request on a slot of the receiver, waiting for one if
+	// none is free.
 	Queue Mode = "Queue"
 )
 
-// Meta goes with a request between VMs.
+// Meta is sent with a request from one VM to another, in header fields.
 type Meta struct {
 	Service string
 	// Origin is the caller's zone.
 	Origin string
 	Mode   Mode
-	// Deadline of the request. It travels as the time left, as clocks differ.
+	// Deadline of the request. It is sent as the remaining time, because the
+	// clocks of VMs differ.
 	Deadline time.Time
-	// Print is the text of a poison.Request: what the request is recognized by when it
-	// comes again, and whether this is a trial by itself; "": it is not known.
+	// Print is the text form of a poison.Request: the fingerprint by which a
+	// repeated request is recognized, and whether this is an exclusive trial. It is
+	// empty if the fingerprint is not known.
 	Print string
 }
--- a/io/forward/forward_test.go
+++ b/io/forward/forward_test.go
@@ -23,7 +23,7 @@
 	}
 	StripHopByHop(h)
 	if len(h) != 1 || h.Get("X-Kept") != "k" {
-		t.Errorf("left %v, want X-Kept only", h)
+		t.Errorf("fields after stripping = %v, want X-Kept only", h)
 	}
 }
 
@@ -31,39 +31,39 @@
 	h := http.Header{HeaderVerdict: {"NotRun"}, headerRefused: {"1"}, headerMode: {"Queue"}, "X-Kept": {"k"}}
 	StripOwn(h)
 	if len(h) != 1 {
-		t.Errorf("left %v, want X-Kept only", h)
+		t.Errorf("fields after stripping = %v, want X-Kept only", h)
 	}
 }
 
-// refuser refuses everything, without reading the body.
+// refuser refuses every request without reading its body.
 type refuser struct{ err *verdict.Error }
 
 func (r refuser) Serve(context.Context, Meta, *http.Request) (*http.Response, error) {
 	return nil, r.err
 }
 
-// countedBody counts what is read of it.
-type countedBody struct {
+// countingBody counts the bytes that are read from it.
+type countingBody struct {
 	bytes.Reader
 	read int
 }
 
-func (b *countedBody) Read(p []byte) (int, error) {
+func (b *countingBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	b.read += n
 	return n, err
 }
 
-func (b *countedBody) Close() error { return nil }
+func (b *countingBody) Close() error { return nil }
 
-// A recording of some megabytes is offered to a VM that has no free slot. The
-// refusal must come before the body is sent: what was sent cannot be offered to
-// the next VM, and the upload would fail for want of a slot next door.
+// A large upload is offered to a VM without a free slot. The VM must refuse it
+// before the body is sent: a body that was partly sent cannot be offered to the
+// next VM, so the upload would fail even if that VM has a free slot.
 func TestRefusalComesBeforeTheBody(t *testing.T) {
 	want := verdict.New(verdict.NotRun, verdict.ReasonQueueFull, 2*time.Second)
 	srv := httptest.NewServer(Handler(refuser{want}))
 	defer srv.Close()
-	body := &countedBody{}
+	body := &countingBody{}
 	body.Reset(make([]byte, 4<<20))
 	req, err := http.NewRequest(http.MethodPut, "http://x.invalid/recording", body)
 	if err != nil {
@@ -81,10 +81,10 @@
 	}
 }
 
-// Somebody sends a request whose length is given in two ways that differ, to
-// slip a second one past the first at the next hop. What leaves here must have
-// one framing, made from what was read, whatever the fields said.
-func TestRequestIsFramedAnew(t *testing.T) {
+// Guards against request smuggling: a request arrives with contradictory
+// Content-Length and Transfer-Encoding fields. The forwarded request must have
+// one framing, derived from the body that was read and not from these fields.
+func TestForwardedRequestHasOneFraming(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -110,7 +110,8 @@
 	}
 }
 
-// readAndAnswer reads the head of one request as it is on the wire.
+// readAndAnswer accepts a connection, reads the head of one request as it is on
+// the wire, and responds with an empty 200.
 func readAndAnswer(l net.Listener) string {
 	conn, err := l.Accept()
 	if err != nil {
--- a/io/forward/header.go
+++ b/io/forward/header.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Header fields of the system's own.
+// Reserved header fields.
 const (
 	HeaderVerdict  = "Auburnlatch-Verdict"
 	HeaderReason   = "Auburnlatch-Reason"
@@ -18,17 +18,18 @@
 	headerOrigin  = "Auburnlatch-Origin"
 	headerPrint   = "Auburnlatch-Print"
 	headerRefused = "Auburnlatch-Refused"
-	ownPrefix     = "Auburnlatch-"
+	// reservedPrefix starts the names of all reserved fields.
+	reservedPrefix = "Auburnlatch-"
 )
 
-// hopByHop are the fields that concern one connection only (RFC 9110, 7.6.1).
+// hopByHop are the fields that concern a single connection (RFC 9110, section 7.6.1).
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Proxy-Authenticate", "Proxy-Authorization",
 }
 
-// StripHopByHop removes the fields that must not be passed on, those named in
-// Connection included.
+// StripHopByHop removes the hop-by-hop fields, including those that the
+// Connection field names.
 func StripHopByHop(h http.Header) {
 	for _, line := range h.Values("Connection") {
 		for name := range strings.SplitSeq(line, ",") {
@@ -40,11 +41,11 @@
 	}
 }
 
-// StripOwn removes the system's own fields, so that neither a caller nor an
-// upstream can speak in its name.
+// StripOwn removes the reserved fields, so that neither a caller nor an upstream
+// can forge them.
 func StripOwn(h http.Header) {
 	for name := range h {
-		if strings.HasPrefix(name, ownPrefix) {
+		if strings.HasPrefix(name, reservedPrefix) {
 			h.Del(name)
 		}
 	}
--- a/io/forward/relay.go
+++ b/io/forward/relay.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	relayBuffer = 32 << 10
-	// writeTimeout bounds one write to a receiver that has stopped reading.
+	relayBuffer = 32 << 10 // Bytes.
+	// writeTimeout bounds one write, for a receiver that has stopped reading.
 	writeTimeout = 30 * time.Second
 )
 
-// buffers are kept between answers: allocating one for each made the garbage
-// collector the largest cost of a small answer.
+// buffers are reused: with one allocation per response, garbage collection was
+// the largest cost of a small response.
 var buffers = sync.Pool{New: func() any { return new([relayBuffer]byte) }}
 
-// Relay passes an answer on as it arrives, and closes its body. An answer that
-// breaks off is never ended as if it were whole: the connection is cut, which
-// the receiver sees as an error.
+// Relay copies a response to w as it arrives, and closes its body. If the body
+// fails before its end, Relay panics with http.ErrAbortHandler: net/http then
+// closes the connection, so that the receiver does not take a truncated response
+// for a complete one.
 func Relay(w http.ResponseWriter, resp *http.Response) {
 	defer resp.Body.Close()
 	h := w.Header()
@@ -29,9 +30,9 @@
 	StripHopByHop(h)
 	w.WriteHeader(resp.StatusCode)
 	rc := http.NewResponseController(w)
-	kept := buffers.Get().(*[relayBuffer]byte)
-	defer buffers.Put(kept)
-	buf := kept[:]
+	pooled := buffers.Get().(*[relayBuffer]byte)
+	defer buffers.Put(pooled)
+	buf := pooled[:]
 	for {
 		n, err := resp.Body.Read(buf)
 		if n > 0 {
--- a/io/forward/server.go
+++ b/io/forward/server.go
@@ -14,12 +14,13 @@
 	"auburnlatch/schema"
 )
 
-// Server is what a VM does with a request from another VM.
+// Server serves requests from other VMs.
 type Server interface {
 	Serve(ctx context.Context, meta Meta, req *http.Request) (*http.Response, error)
 }
 
-// Handler returns the HTTP handler of the address that other VMs send to.
+// Handler returns the HTTP handler of a VM's forward address, to which other VMs
+// send requests.
 func Handler(s Server) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		meta, ok := readMeta(r)
@@ -44,18 +45,19 @@
 	})
 }
 
+// readMeta reads a request's metadata; it returns false if it is not valid.
 func readMeta(r *http.Request) (Meta, bool) {
-	left, err := strconv.ParseInt(r.Header.Get(HeaderTimeout), 10, 64)
+	timeoutMs, err := strconv.ParseInt(r.Header.Get(HeaderTimeout), 10, 64)
 	service, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	m := Meta{
 		Service: service, Origin: r.Header.Get(headerOrigin), Mode: Mode(r.Header.Get(headerMode)),
-		Deadline: time.Now().Add(time.Duration(left) * time.Millisecond), Print: r.Header.Get(headerPrint),
+		Deadline: time.Now().Add(time.Duration(timeoutMs) * time.Millisecond), Print: r.Header.Get(headerPrint),
 	}
-	known := m.Mode == Zone || m.Mode == Offer || m.Mode == Queue
-	return m, err == nil && known && service != ""
+	validMode := m.Mode == Zone || m.Mode == Offer || m.Mode == Queue
+	return m, err == nil && validMode && service != ""
 }
 
-// statuses gives the HTTP status for each reason; what is not listed is 503.
+// statuses gives the HTTP status of each reason; for all others it is 503.
 var statuses = map[verdict.Reason]int{
 	verdict.ReasonBadRequest:    http.StatusBadRequest,
 	verdict.ReasonKeyMissing:    http.StatusBadRequest,
@@ -68,8 +70,8 @@
 	verdict.ReasonBroken:        http.StatusBadGateway,
 }
 
-// Refuse writes the final answer to a request that was given up on: status,
-// verdict, reason, and when to come back.
+// Refuse writes the response to a request that is refused or has failed: status,
+// verdict, reason, and Retry-After if e has one.
 func Refuse(w http.ResponseWriter, e *verdict.Error) {
 	status, ok := statuses[e.Reason]
 	if !ok {
