--- a/io/caller/doc.go
+++ b/io/caller/doc.go
@@ -1,17 +1,17 @@
-// Package caller serves callers: look-ups, and their requests to services.
+// Package caller serves callers: look-ups, and requests to services.
 //
-// # For callers
+// # Endpoints
 //
-//	GET /auburnlatch/lookup             which VMs to use, best first, and for how long
-//	GET /auburnlatch/ready              200 when this VM takes requests
+//	GET /auburnlatch/lookup             the VMs to use, best first, and for how long
+//	GET /auburnlatch/ready              200 if this VM takes requests
 //	ANY /{service}/{path}               a request to a service
 //
-// A request may carry Auburnlatch-Timeout-Ms, the time its caller waits, and
-// Auburnlatch-Place, the caller's place where its address does not tell. One
-// that is not idempotent carries Idempotency-Key, and Auburnlatch-Caller or
-// Authorization to say whose key it is. A refusal has a status,
-// Auburnlatch-Verdict, Auburnlatch-Reason, and Retry-After where coming back
-// makes sense; its verdict is about this one attempt.
+// A request may have the header field Auburnlatch-Timeout-Ms, how long its caller
+// waits, and Auburnlatch-Place, the caller's place if it does not follow from the
+// address. A request that is not idempotent needs an Idempotency-Key, and
+// Auburnlatch-Caller or Authorization to identify the owner of the key. A refusal
+// has a status, Auburnlatch-Verdict, Auburnlatch-Reason, and Retry-After if a
+// retry makes sense. Its verdict concerns this attempt only.
 //
 // # Usage
 //
--- a/io/caller/keyed.go
+++ b/io/caller/keyed.go
@@ -20,21 +20,22 @@
 )
 
 const (
-	// maxInTable is the largest answer kept in the table itself.
-	maxInTable = 32 << 10
-	// storeTimeout bounds the storing of one large answer.
+	// maxTableBody is the size in bytes of the largest response body that is stored
+	// in the claims table itself; larger ones go to the object store.
+	maxTableBody = 32 << 10
+	// storeTimeout bounds the writing of one body to the object store.
 	storeTimeout = 30 * time.Second
-	// Waits between tries to settle a row.
-	firstSettleWait = 100 * time.Millisecond
-	maxSettleWait   = 5 * time.Second
+	// The back-off between attempts to settle a row doubles from
+	// minSettleBackoff to maxSettleBackoff.
+	minSettleBackoff = 100 * time.Millisecond
+	maxSettleBackoff = 5 * time.Second
 )
 
-// keyed runs a request that must not run twice.
+// keyedRequest serves a request that must not run twice.
 //
-// Its context does not end when the caller goes away: once claimed, the
-// request is best run to its end and its answer kept, for the caller that
-// comes back.
-func (s *Server) keyed(w http.ResponseWriter, req *route.Request, key claim.Key) {
+// Its context is not canceled when the caller leaves: once claimed, the request
+// runs to its end and its response is stored, for the caller's retry.
+func (s *Server) keyedRequest(w http.ResponseWriter, req *route.Request, key claim.Key) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(req.HTTP.Context()), req.Deadline)
 	defer cancel()
 	now := time.Now()
@@ -42,7 +43,7 @@
 		s.refuse(w, req.HTTP, verdict.New(verdict.NotRun, verdict.ReasonPlatform, claim.DefaultRetryAfter))
 		return
 	}
-	a := claim.New(key, newID(), digestOf(req), s.cfg.Holder, req.Deadline)
+	a := claim.New(key, newID(), requestDigest(req), s.cfg.Holder, req.Deadline)
 	act := a.Start(now)
 	for act.Kind == claim.Write && act.Err == nil {
 		act = a.Written(time.Now(), s.claims.Write(ctx, key, act))
@@ -60,7 +61,7 @@
 	}
 }
 
-// dispatch sends a claimed request, once, and settles its row.
+// dispatch sends a claimed request to an upstream and settles its row.
 func (s *Server) dispatch(ctx context.Context, w http.ResponseWriter, req *route.Request, a *claim.Attempt) {
 	s.open.add(a)
 	resp, err := s.router.Enter(ctx, req)
@@ -74,8 +75,8 @@
 	forward.StripHopByHop(header)
 	resp.Body = body
 	defer func() {
-		// The caller may have gone away half-way; the answer is read to its
-		// end all the same, to be kept.
+		// If the caller has left, the rest of the response is read all the
+		// same, so that it can be stored.
 		_, _ = io.Copy(io.Discard, body)
 		body.ReadCloser.Close()
 		s.finish(a, resp.StatusCode, header, body)
@@ -85,9 +86,9 @@
 	})
 }
 
-// finish keeps the answer, if it came whole.
+// finish stores the response, if it was read completely, and settles the row.
 func (s *Server) finish(a *claim.Attempt, status int, header http.Header, body *capture) {
-	if !body.whole {
+	if !body.complete {
 		s.settle(a, a.Finish(time.Now(), nil, verdict.New(verdict.Ran, verdict.ReasonBroken, 0)))
 		return
 	}
@@ -96,15 +97,16 @@
 		for _, name := range slices.Sorted(maps.Keys(header)) {
 			answer.Headers = append(answer.Headers, claim.Header{Name: name, Values: header[name]})
 		}
-		s.keep(a, answer, body.data.Bytes())
+		s.storeBody(a, answer, body.data.Bytes())
 	}
 	s.settle(a, a.Finish(time.Now(), answer, nil))
 }
 
-// keep puts the body where its size says. One that cannot be stored is noted
-// as not kept: that the request ran must be known all the same.
-func (s *Server) keep(a *claim.Attempt, answer *claim.Answer, body []byte) {
-	if len(body) <= maxInTable {
+// storeBody puts a body of up to maxTableBody into answer itself, and a larger one
+// into the object store. If that fails, answer is marked as too large to be
+// replayed: the row must record that the request ran in any case.
+func (s *Server) storeBody(a *claim.Attempt, answer *claim.Answer, body []byte) {
+	if len(body) <= maxTableBody {
 		answer.Body = body
 		return
 	}
@@ -119,6 +121,7 @@
 	answer.Object = name
 }
 
+// replay responds with the stored answer of an earlier attempt.
 func (s *Server) replay(ctx context.Context, w http.ResponseWriter, req *route.Request, answer *claim.Answer) {
 	body, err := s.claims.Answer(ctx, answer)
 	if err != nil {
@@ -134,13 +137,13 @@
 	_, _ = w.Write(body)
 }
 
-// capture keeps what is read from a body, up to a limit.
+// capture records what is read from a response body, up to limit bytes.
 type capture struct {
 	io.ReadCloser
 	limit    int64
-	data     bytes.Buffer
-	overflow bool
-	whole    bool
+	data     bytes.Buffer // Empty after an overflow.
+	overflow bool         // The body is longer than limit.
+	complete bool         // The body was read to its end.
 }
 
 // Read implements io.Reader.
@@ -154,12 +157,12 @@
 		c.data.Write(p[:n])
 	}
 	if err == io.EOF {
-		c.whole = true
+		c.complete = true
 	}
 	return n, err
 }
 
-// settle carries out the writes that are left for a row, in the background.
+// settle performs the remaining writes of an attempt's row in the background.
 func (s *Server) settle(a *claim.Attempt, act claim.Action) {
 	if act.Kind != claim.Write {
 		s.open.remove(a)
@@ -170,29 +173,29 @@
 	go (&settler{server: s, attempt: a}).run(act)
 }
 
-// settler brings one attempt to its end.
+// settler settles the row of one attempt.
 type settler struct {
 	server  *Server
 	attempt *claim.Attempt
 }
 
-// run writes until nothing is left to write. While the platform is away it
-// asks less and less often.
+// run writes until nothing is left to write. It backs off while the platform does
+// not answer.
 func (t *settler) run(act claim.Action) {
 	defer t.server.settling.Done()
 	defer t.server.open.remove(t.attempt)
-	wait := firstSettleWait
+	backoff := minSettleBackoff
 	for act.Kind == claim.Write {
 		r := t.server.claims.Write(context.Background(), t.attempt.Key, act)
 		act = t.attempt.Written(time.Now(), r)
 		if r.Outcome == claim.Unknown || r.Outcome == claim.NotSent {
-			time.Sleep(wait)
-			wait = min(2*wait, maxSettleWait)
+			time.Sleep(backoff)
+			backoff = min(2*backoff, maxSettleBackoff)
 		}
 	}
 }
 
-// newID returns an ID that was never used before.
+// newID returns a random 128-bit ID, in hex.
 func newID() string {
 	var b [16]byte
 	_, _ = rand.Read(b[:])
--- a/io/caller/keyed_test.go
+++ b/io/caller/keyed_test.go
@@ -23,14 +23,14 @@
 	standin "auburnlatch/standin/platform"
 )
 
-// fakeRouter stands for everything behind the claim. It counts what ran.
+// fakeRouter is an Enterer that counts the requests that ran.
 type fakeRouter struct {
 	mu      sync.Mutex
 	runs    int
-	fail    []error // Outcomes of the next calls; nil: it runs.
+	fail    []error // Errors of the next calls; nil if the request runs.
 	answer  string
-	held    chan struct{} // Where set, a call waits for it.
-	entered chan struct{}
+	release chan struct{} // If set, a call waits until it is closed.
+	entered chan struct{} // If set, receives a value from each call.
 }
 
 func (f *fakeRouter) Enter(_ context.Context, req *route.Request) (*http.Response, error) {
@@ -46,13 +46,13 @@
 	if body == "" {
 		body = fmt.Sprintf("run %d of %s", f.runs, req.HTTP.URL.Path)
 	}
-	held, entered := f.held, f.entered
+	release, entered := f.release, f.entered
 	f.mu.Unlock()
 	if entered != nil {
 		entered <- struct{}{}
 	}
-	if held != nil {
-		<-held
+	if release != nil {
+		<-release
 	}
 	if err != nil {
 		return nil, err
@@ -73,17 +73,17 @@
 func (f *fakeRegister) Service(n string) *inventory.Service { return f.inv.Service(n) }
 func (f *fakeRegister) Ready() bool                         { return true }
 
-// rig is one VM's caller server before a stand-in platform.
-type rig struct {
+// harness is the caller server of one VM with a stand-in platform.
+type harness struct {
 	platform *standin.Platform
 	router   *fakeRouter
 	server   *Server
 	url      string
 }
 
-func newRig(t *testing.T) *rig {
+func newHarness(t *testing.T) *harness {
 	t.Helper()
-	r := &rig{platform: standin.New(), router: &fakeRouter{}}
+	r := &harness{platform: standin.New(), router: &fakeRouter{}}
 	p := httptest.NewServer(r.platform)
 	t.Cleanup(p.Close)
 	r.server, r.url = newServer(t, p.URL, r.router)
@@ -108,10 +108,10 @@
 	return s, srv.URL
 }
 
-// settled waits until all rows are settled.
-func (r *rig) settled() { _ = r.server.Settled(context.Background()) }
+// waitSettled waits until all rows are settled.
+func (r *harness) waitSettled() { _ = r.server.Settled(context.Background()) }
 
-// reply is what a caller got.
+// reply is a response as a caller sees it.
 type reply struct {
 	status   int
 	body     string
@@ -122,7 +122,8 @@
 	depot    string
 }
 
-// book sends one booking as the caller under the key.
+// book sends one booking, a request that must not run twice, for the caller who
+// with an idempotency key.
 func book(t *testing.T, url, who, key, body string) reply {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, url+"/programari/slots", strings.NewReader(body))
@@ -149,53 +150,53 @@
 
 func notRun(reason verdict.Reason) error { return verdict.New(verdict.NotRun, reason, time.Second) }
 
-// A depot books an inspection slot, something fails, and the depot asks again
-// with the same key. It must get one bay, and be told the truth both times.
+// A booking fails at different points and is retried with the same key. It must
+// run at most once, and the verdicts of both responses must be true.
 func TestBookingRunsAtMostOnce(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		faults standin.Faults
 		fail   []error
-		// What the first and the second try get.
+		// The responses to the first and the second attempt.
 		first, second reply
 		runs          int
 	}{
 		{
-			name:   "nothing fails: the second gets the first's answer",
+			name:   "no failure: the retry gets the stored answer",
 			first:  reply{status: 201, body: "run 1 of /slots"},
 			second: reply{status: 201, body: "run 1 of /slots", replayed: true},
 			runs:   1,
 		},
 		{
-			name:   "the answer to the claim is lost, and the claim stands",
+			name:   "response to the claim lost, claim written",
 			faults: standin.Faults{LoseAnswers: 1},
 			first:  reply{status: 201, body: "run 1 of /slots"},
 			second: reply{status: 201, body: "run 1 of /slots", replayed: true},
 			runs:   1,
 		},
 		{
-			name:   "the claim takes effect late, when it can win no more",
+			name:   "claim written late, after its tombstone",
 			faults: standin.Faults{LateWrites: 1, Late: 300 * time.Millisecond},
 			first:  reply{status: 503, verdict: "NotRun", reason: "PlatformDown", retry: "1"},
 			second: reply{status: 201, body: "run 1 of /slots"},
 			runs:   1,
 		},
 		{
-			name:   "the answers to claim and tombstone are lost",
+			name:   "responses to claim and tombstone lost",
 			faults: standin.Faults{LoseAnswers: 2},
 			first:  reply{status: 503, verdict: "NotRun", reason: "PlatformDown", retry: "1"},
 			second: reply{status: 201, body: "run 1 of /slots"},
 			runs:   1,
 		},
 		{
-			name:   "no upstream has room: the claim is given back",
+			name:   "no free slot: the claim is released",
 			fail:   []error{notRun(verdict.ReasonQueueFull)},
 			first:  reply{status: 503, verdict: "NotRun", reason: "QueueFull", retry: "1"},
 			second: reply{status: 201, body: "run 1 of /slots"},
 			runs:   1,
 		},
 		{
-			name:   "the upstream's connection breaks: nobody knows, and it is not sent again",
+			name:   "upstream connection broken: outcome unknown, not sent again",
 			fail:   []error{verdict.New(verdict.MaybeRan, verdict.ReasonBroken, time.Second)},
 			first:  reply{status: 502, verdict: "MaybeRan", reason: "Broken", retry: "1"},
 			second: reply{status: 409, verdict: "MaybeRan", reason: "InProgress", retry: "1"},
@@ -203,15 +204,15 @@
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t)
+			r := newHarness(t)
 			r.platform.SetFaults(tc.faults)
 			r.router.fail = tc.fail
 			got := book(t, r.url, "depot-cluj", "k", "order")
 			compare(t, "first", got, tc.first)
-			r.settled()
+			r.waitSettled()
 			got = book(t, r.url, "depot-cluj", "k", "order")
 			compare(t, "second", got, tc.second)
-			r.settled()
+			r.waitSettled()
 			if r.router.runs != tc.runs {
 				t.Errorf("ran %d times, want %d", r.router.runs, tc.runs)
 			}
@@ -226,14 +227,14 @@
 	}
 	got.depot = ""
 	if got != want {
-		t.Errorf("%s try = %+v, want %+v", which, got, want)
+		t.Errorf("%s response = %+v, want %+v", which, got, want)
 	}
 }
 
-// The platform is down. A mechanic signs a repair off and must hear at once
-// that it did not run and when to come back; nothing may reach an upstream.
+// The platform is down. A request that needs a claim must be refused immediately
+// with NotRun and Retry-After, and must not reach an upstream.
 func TestPlatformOutageRefusesAtOnce(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.platform.SetFaults(standin.Faults{Outage: true})
 	for i := range 3 {
 		got := book(t, r.url, "depot", fmt.Sprint("k", i), "order")
@@ -248,12 +249,12 @@
 	}
 }
 
-// The platform is slow beyond any caller's patience, but does what it is asked
-// in the end. A depot must hear NotRun when the table's time is over, others at
-// once after that; and when the late claims have landed nothing may be blocked
-// or run twice.
+// The platform performs all writes, but answers after the claims client has timed
+// out. The first request must be refused with NotRun at the timeout, later ones
+// immediately. When the late claims have been written, they must block no retry
+// and make no request run twice.
 func TestSlowPlatformRefusesAndBlocksNothing(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.platform.SetFaults(standin.Faults{Delay: 1500 * time.Millisecond})
 	refused := reply{status: 503, verdict: "NotRun", reason: "PlatformDown", retry: "1"}
 	compare(t, "first", book(t, r.url, "depot", "k", "order"), refused)
@@ -262,39 +263,40 @@
 		compare(t, "others", book(t, r.url, "depot", fmt.Sprint("other", i), "order"), refused)
 	}
 	if took := time.Since(started); took > time.Second {
-		t.Errorf("five refusals took %v while the table was known not to answer", took)
+		t.Errorf("five refusals took %v with the platform known to be unresponsive, want at most 1 s", took)
 	}
 	r.platform.SetFaults(standin.Faults{})
-	r.settled()
+	r.waitSettled()
 	if r.router.runs != 0 {
-		t.Fatalf("ran %d times, though all were told NotRun", r.router.runs)
+		t.Fatalf("ran %d times, though all were refused with NotRun", r.router.runs)
 	}
-	<-time.After(1100 * time.Millisecond) // The claim breaker lets a probe through.
+	<-time.After(1100 * time.Millisecond) // The claim breaker allows a probe after 1 s.
 	compare(t, "again", book(t, r.url, "depot", "k", "order"), reply{status: 201, body: "run 1 of /slots"})
 }
 
-// The booking runs, and the platform goes down before the answer is stored.
-// The depot that asks again must not book a second bay: it hears MaybeRan until
-// the platform is back, and then gets the answer.
+// A booking runs, and the platform goes down before the answer is stored. Retries are
+// refused with MaybeRan meanwhile. The
+// answer must be stored when the platform is back, and a retry must get it in
+// place of a second run.
 func TestOutageBetweenRunAndStore(t *testing.T) {
-	r := newRig(t)
-	r.router.held, r.router.entered = make(chan struct{}), make(chan struct{}, 1)
+	r := newHarness(t)
+	r.router.release, r.router.entered = make(chan struct{}), make(chan struct{}, 1)
 	first := make(chan reply, 1)
 	go func() { first <- book(t, r.url, "depot", "k", "order") }()
 	<-r.router.entered
 	r.platform.SetFaults(standin.Faults{Outage: true})
-	close(r.router.held)
+	close(r.router.release)
 	compare(t, "first", <-first, reply{status: 201, body: "run 1 of /slots"})
 	r.platform.SetFaults(standin.Faults{})
-	r.settled()
+	r.waitSettled()
 	compare(t, "second", book(t, r.url, "depot", "k", "order"), reply{status: 201, body: "run 1 of /slots", replayed: true})
 }
 
-// A dispatcher presses the button on two devices: the same key reaches two VMs
-// at the same moment. One books; the other is told that it is in progress.
-func TestTwoVMsAtOnce(t *testing.T) {
-	r := newRig(t)
-	r.router.held, r.router.entered = make(chan struct{}), make(chan struct{}, 1)
+// Requests with the same key reach two VMs at the same time. One must run; the
+// other must be refused with InProgress, and get the stored answer later.
+func TestSameKeyOnTwoVMsRunsOnce(t *testing.T) {
+	r := newHarness(t)
+	r.router.release, r.router.entered = make(chan struct{}), make(chan struct{}, 1)
 	p := httptest.NewServer(r.platform)
 	defer p.Close()
 	_, other := newServer(t, p.URL, r.router)
@@ -302,31 +304,31 @@
 	go func() { first <- book(t, r.url, "depot", "k", "order") }()
 	<-r.router.entered
 	compare(t, "other VM", book(t, other, "depot", "k", "order"), reply{status: 409, verdict: "MaybeRan", reason: "InProgress", retry: "1"})
-	close(r.router.held)
+	close(r.router.release)
 	compare(t, "first VM", <-first, reply{status: 201, body: "run 1 of /slots"})
-	r.settled()
+	r.waitSettled()
 	compare(t, "other VM later", book(t, other, "depot", "k", "order"), reply{status: 201, body: "run 1 of /slots", replayed: true})
 }
 
-// Two depots happen to use the same key, and one depot reuses its own for
-// another order. Nobody may be given the answer to somebody else's request.
-func TestAnswersAreNeverAnothers(t *testing.T) {
-	r := newRig(t)
+// Two callers use the same key, and one caller reuses its key for a different
+// request. No request may get the answer to another one.
+func TestAnswerIsOnlyReplayedToSameRequest(t *testing.T) {
+	r := newHarness(t)
 	book(t, r.url, "depot-cluj", "k", "order")
-	r.settled()
+	r.waitSettled()
 	compare(t, "other depot", book(t, r.url, "depot-iasi", "k", "order"), reply{status: 201, body: "run 2 of /slots"})
-	r.settled()
+	r.waitSettled()
 	compare(t, "other order", book(t, r.url, "depot-cluj", "k", "another order"), reply{status: 422, verdict: "NotRun", reason: "KeyReused"})
 	compare(t, "no name", book(t, r.url, "", "k", "order"), reply{status: 400, verdict: "NotRun", reason: "KeyMissing"})
 }
 
-// A certificate too large for the table is the answer to a booking. Asked for
-// again, it must come back whole, from the object store, with its headers.
+// The response to a booking is too large for the claims table. A retry must get it
+// from the object store, complete and with its header fields.
 func TestLargeAnswerIsReplayedWhole(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.router.answer = strings.Repeat("certificate ", 20_000)
 	book(t, r.url, "depot", "k", "order")
-	r.settled()
+	r.waitSettled()
 	got := book(t, r.url, "depot", "k", "order")
 	if got.body != r.router.answer || !got.replayed || got.depot != "cluj" {
 		t.Errorf("replay has %d bytes, replayed %t, X-Depot %q; want %d bytes, true, cluj", len(got.body), got.replayed, got.depot, len(r.router.answer))
--- a/io/caller/lookup.go
+++ b/io/caller/lookup.go
@@ -16,11 +16,12 @@
 	"auburnlatch/schema"
 )
 
-// lookup answers which VMs a caller should use.
+// lookup responds with the VMs that a caller should use. The query parameter
+// client overrides the address of the connection.
 func (s *Server) lookup(c echo.Context) error {
 	w, r := c.Response(), c.Request()
 	if !s.register.Ready() {
-		forward.Refuse(w, verdict.New(verdict.NotRun, verdict.ReasonNotReady, retryLater))
+		forward.Refuse(w, verdict.New(verdict.NotRun, verdict.ReasonNotReady, retryAfter))
 		return nil
 	}
 	client := remoteAddr(r)
@@ -42,17 +43,18 @@
 	return c.Blob(http.StatusOK, echo.MIMEApplicationJSON, body)
 }
 
-// answerCache keeps the encoded answers of one snapshot: encoding one costs more
-// than finding it. The zero value is empty.
+// answerCache caches the encoded look-up answers of one snapshot, as encoding an
+// answer costs more than looking it up. The zero value is empty.
 type answerCache struct {
 	current atomic.Pointer[encodedAnswers]
 }
 
 type encodedAnswers struct {
 	snapshot *steer.Lookups
-	bodies   sync.Map // Of []byte, by *steer.Answer.
+	bodies   sync.Map // From *steer.Answer to []byte.
 }
 
+// body returns the encoded LookupReply for a, which is an answer of snapshot.
 func (c *answerCache) body(snapshot *steer.Lookups, a *steer.Answer, ttl time.Duration) ([]byte, error) {
 	enc := c.current.Load()
 	if enc == nil || enc.snapshot != snapshot {
--- a/io/caller/open.go
+++ b/io/caller/open.go
@@ -9,7 +9,7 @@
 	"auburnlatch/io/platform"
 )
 
-// openClaims are the attempts whose rows are not settled yet.
+// openClaims is the set of attempts whose rows are not settled yet.
 type openClaims struct {
 	mu       sync.Mutex
 	attempts map[string]*claim.Attempt
@@ -30,8 +30,8 @@
 	delete(o.attempts, a.ID)
 }
 
-// list returns the open claims, sorted by attempt. Only fields that never
-// change are read, as the attempts are in other goroutines' hands.
+// list returns the open claims, sorted by attempt ID. It reads only the immutable
+// fields of attempts, as other goroutines use them meanwhile.
 func (o *openClaims) list() []platform.Listed {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/io/caller/parse.go
+++ b/io/caller/parse.go
@@ -20,17 +20,17 @@
 
 const (
 	headerKey = "Idempotency-Key"
-	// maxKey bounds the parts of a claim's key, in bytes.
-	maxKey = 255
-	// readTimeout bounds the wait for the next bytes of a body.
+	// maxKeyBytes bounds the idempotency key and the caller's name.
+	maxKeyBytes = 255
+	// readTimeout bounds each read of a request's body.
 	readTimeout = 30 * time.Second
 )
 
-// parse checks a request and returns it with the key of its claim, nil where
-// it needs none.
+// parse checks a request and returns it with the key of its claim. The key is nil
+// if the request needs no claim.
 func (s *Server) parse(w http.ResponseWriter, r *http.Request) (*route.Request, *claim.Key, error) {
 	if !s.register.Ready() {
-		return nil, nil, verdict.New(verdict.NotRun, verdict.ReasonNotReady, retryLater)
+		return nil, nil, verdict.New(verdict.NotRun, verdict.ReasonNotReady, retryAfter)
 	}
 	name, rest := splitService(r.URL.Path)
 	rules := s.register.Service(name)
@@ -44,17 +44,17 @@
 		}
 		return nil, nil, verdict.New(verdict.NotRun, reason, 0)
 	}
-	timeout, err := timeoutOf(r, rules.Timeout)
+	timeout, err := requestTimeout(r, rules.Timeout)
 	if err != nil {
 		return nil, nil, err
 	}
 	req := &route.Request{
-		Service: name, Origin: s.origin(r), Deadline: time.Now().Add(timeout),
+		Service: name, Origin: s.originZone(r), Deadline: time.Now().Add(timeout),
 		Idempotent: slices.Contains(rules.IdempotentMethods, r.Method),
 	}
 	var key *claim.Key
 	if !req.Idempotent {
-		if key, err = keyOf(r, name, rules.KeyOptional); err != nil {
+		if key, err = claimKey(r, name, rules.KeyOptional); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -64,7 +64,8 @@
 	return req, key, nil
 }
 
-// setHTTP gives the request the parts that go to the upstream.
+// setHTTP sets the parts of req that go to the upstream. rest is the path within
+// the service.
 func (s *Server) setHTTP(w http.ResponseWriter, r *http.Request, req *route.Request, rest string) error {
 	hr := r.Clone(r.Context())
 	hr.URL.Path = rest
@@ -75,7 +76,7 @@
 	forward.StripOwn(hr.Header)
 	hr.Header.Del("Expect")
 	if r.Body != nil && r.Body != http.NoBody {
-		hr.Body = &timedBody{ReadCloser: http.MaxBytesReader(w, r.Body, s.cfg.MaxBodyBytes), rc: http.NewResponseController(w)}
+		hr.Body = &timeoutBody{ReadCloser: http.MaxBytesReader(w, r.Body, s.cfg.MaxBodyBytes), rc: http.NewResponseController(w)}
 	}
 	req.HTTP = hr
 	body, err := route.ReadBody(hr)
@@ -89,15 +90,15 @@
 	return nil
 }
 
-// timedBody lets a sender be slow, but not stop: each read has a time of its
-// own. A sender that stops would otherwise hold a slot until the deadline.
-type timedBody struct {
+// timeoutBody is a request's body with a timeout for each read: the sender may be
+// slow, but a sender that stops would otherwise hold a slot until the deadline.
+type timeoutBody struct {
 	io.ReadCloser
 	rc *http.ResponseController
 }
 
 // Read implements io.Reader.
-func (b *timedBody) Read(p []byte) (int, error) {
+func (b *timeoutBody) Read(p []byte) (int, error) {
 	_ = b.rc.SetReadDeadline(time.Now().Add(readTimeout))
 	n, err := b.ReadCloser.Read(p)
 	if err != nil {
@@ -106,22 +107,23 @@
 	return n, err
 }
 
-func timeoutOf(r *http.Request, limit time.Duration) (time.Duration, error) {
+// requestTimeout returns the timeout that the caller asks for, at most limit.
+func requestTimeout(r *http.Request, limit time.Duration) (time.Duration, error) {
 	h := r.Header.Get(forward.HeaderTimeout)
 	if h == "" {
 		return limit, nil
 	}
 	ms, err := strconv.ParseInt(h, 10, 64)
 	if err != nil || ms <= 0 {
-		err := errors.Newf("%s: %q is no number of milliseconds above 0", forward.HeaderTimeout, h)
+		err := errors.Newf("invalid %s %q: want a positive number of milliseconds", forward.HeaderTimeout, h)
 		return 0, verdict.Wrap(err, verdict.NotRun, verdict.ReasonBadRequest, 0)
 	}
 	return min(limit, time.Duration(ms)*time.Millisecond), nil
 }
 
-// origin returns the zone of the caller's place: the place it names, else the
-// one its address belongs to.
-func (s *Server) origin(r *http.Request) string {
+// originZone returns the zone of the caller's place. That is the place that the
+// caller names if it exists, else the one that has the caller's address.
+func (s *Server) originZone(r *http.Request) string {
 	l := s.register.Lookups()
 	if name := r.Header.Get(forward.HeaderPlace); name != "" {
 		if a := l.Place(name); a != nil {
@@ -131,24 +133,26 @@
 	return l.Lookup(remoteAddr(r)).Zone
 }
 
-// keyOf returns the key of a request that must not run twice. It needs to know
-// whose key it is: without that, one caller could be given the answer to
-// another's request under the same key, and a caller whose address changes
-// could run one twice.
-func keyOf(r *http.Request, service string, optional bool) (*claim.Key, error) {
+// claimKey returns the key of the claim of a request that must not run twice. The
+// key includes the caller's name: without it, a caller could get the answer to
+// another caller's request with the same idempotency key; and with the address in
+// its place, a caller whose address changes could run a request twice.
+func claimKey(r *http.Request, service string, optional bool) (*claim.Key, error) {
 	key := r.Header.Get(headerKey)
 	if key == "" && optional {
 		return nil, nil
 	}
 	caller := callerName(r)
-	if key == "" || caller == "" || len(key) > maxKey || len(caller) > maxKey {
-		err := errors.Newf("%s and one of %s and Authorization are needed, of at most %d bytes", headerKey, forward.HeaderCaller, maxKey)
+	if key == "" || caller == "" || len(key) > maxKeyBytes || len(caller) > maxKeyBytes {
+		err := errors.Newf("need %s and either %s or Authorization, of at most %d bytes each", headerKey, forward.HeaderCaller, maxKeyBytes)
 		return nil, verdict.Wrap(err, verdict.NotRun, verdict.ReasonKeyMissing, 0)
 	}
 	return &claim.Key{Service: service, Caller: caller, Idempotency: key}, nil
 }
 
-// callerName returns what names the caller, wherever they come from; "": nothing does.
+// callerName returns a name of the caller that does not depend on its address: the
+// one it gives, else a hash of its Authorization field. It is empty if the caller
+// has neither.
 func callerName(r *http.Request) string {
 	caller, auth := r.Header.Get(forward.HeaderCaller), r.Header.Get("Authorization")
 	if caller != "" || auth == "" {
@@ -158,9 +162,10 @@
 	return "auth-" + hex.EncodeToString(sum[:])
 }
 
-// digestOf returns the digest by which the same request is known again: of
-// method, path, length and the kept beginning of the body.
-func digestOf(req *route.Request) string {
+// requestDigest returns the digest by which a retry of the same request is
+// recognized. It covers method, URI, content type, length and the buffered
+// beginning of the body.
+func requestDigest(req *route.Request) string {
 	h := sha256.New()
 	for _, part := range []string{
 		req.HTTP.Method, req.HTTP.URL.RequestURI(), req.HTTP.Header.Get("Content-Type"), strconv.FormatInt(req.HTTP.ContentLength, 10),
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -21,30 +21,31 @@
 	"auburnlatch/io/route"
 )
 
-// retryLater is when a caller should come back to a VM that cannot take its
-// request now.
-const retryLater = time.Second
+// retryAfter is the Retry-After of a VM that cannot take a request now.
+const retryAfter = time.Second
 
-// Enterer carries a caller's request to an upstream.
+// Enterer sends a caller's request to an upstream.
 type Enterer interface {
 	Enter(ctx context.Context, req *route.Request) (*http.Response, error)
 }
 
-// Register is what the server needs to know of the inventory and the VM.
+// Register gives the server its view of the inventory and the VM's state.
 type Register interface {
+	// Lookups returns the look-up answers in use.
 	Lookups() *steer.Lookups
+	// Service returns the service with a name, nil if there is none.
 	Service(name string) *inventory.Service
-	// Ready reports whether the VM knows enough to take requests.
+	// Ready reports whether the VM can take requests.
 	Ready() bool
 }
 
-// Config of a server.
+// Config configures a Server.
 type Config struct {
-	Holder          claim.Holder
-	LookupTTL       time.Duration
-	MaxInFlight     int
-	MaxBodyBytes    int64
-	MaxStoredAnswer int64
+	Holder          claim.Holder  // Holds the server's claims.
+	LookupTTL       time.Duration // How long callers may use a look-up's answer.
+	MaxInFlight     int           // Requests; more are refused.
+	MaxBodyBytes    int64         // Of a request.
+	MaxStoredAnswer int64         // Bytes; a longer response is not stored.
 }
 
 // Server serves callers.
@@ -67,22 +68,23 @@
 	return &Server{cfg: cfg, router: router, claims: claims, register: register, log: log}
 }
 
-// InFlight returns how many requests are in the server.
+// InFlight returns the number of requests in flight.
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
-// OpenClaims returns the claims this VM holds now.
+// OpenClaims returns the claims that are not settled yet, sorted by attempt ID.
 func (s *Server) OpenClaims() []platform.Listed { return s.open.list() }
 
-// Refuse makes the server refuse new requests, for a VM that leaves. Those in
-// flight go on.
+// Refuse makes the server refuse new requests, when the VM leaves. Requests in
+// flight are served to their end.
 func (s *Server) Refuse() { s.refusing.Store(true) }
 
-// Settled returns when all rows of claims have been settled, or ctx ends, as
-// it must while the platform is away. Rows left then stay Claimed: whoever asks
-// again hears MaybeRan, until an operator resolves them.
+// Settled waits until the rows of all claims are settled, or returns ctx's error
+// when ctx ends: rows cannot be settled while the platform is unavailable. Such
+// rows stay Claimed: retries are refused with MaybeRan until an operator resolves
+// the claim.
 func (s *Server) Settled(ctx context.Context) error {
 	done := make(chan struct{})
-	w := &settledWait{server: s, done: done}
+	w := &settleWaiter{server: s, done: done}
 	go w.run()
 	select {
 	case <-done:
@@ -92,14 +94,14 @@
 	}
 }
 
-// settledWait waits for what is being settled.
-type settledWait struct {
+// settleWaiter closes done when all rows are settled.
+type settleWaiter struct {
 	server *Server
 	done   chan struct{}
 }
 
-// run closes done when nothing is left.
-func (w *settledWait) run() {
+// run waits for all rows and closes done.
+func (w *settleWaiter) run() {
 	w.server.settling.Wait()
 	w.server.claims.Wait()
 	close(w.done)
@@ -114,25 +116,26 @@
 	return e
 }
 
+// ready responds with 200 if the VM takes requests.
 func (s *Server) ready(c echo.Context) error {
 	if !s.register.Ready() || s.refusing.Load() {
-		forward.Refuse(c.Response(), verdict.New(verdict.NotRun, verdict.ReasonNotReady, retryLater))
+		forward.Refuse(c.Response(), verdict.New(verdict.NotRun, verdict.ReasonNotReady, retryAfter))
 		return nil
 	}
 	return c.String(http.StatusOK, "ready\n")
 }
 
-// request takes in one request to a service.
+// request serves one request to a service.
 func (s *Server) request(c echo.Context) error {
 	w, r := c.Response(), c.Request()
 	if n := s.inFlight.Add(1); n > int64(s.cfg.MaxInFlight) {
 		s.inFlight.Add(-1)
-		s.refuse(w, r, verdict.New(verdict.NotRun, verdict.ReasonBusy, retryLater))
+		s.refuse(w, r, verdict.New(verdict.NotRun, verdict.ReasonBusy, retryAfter))
 		return nil
 	}
 	defer s.inFlight.Add(-1)
 	if s.refusing.Load() {
-		s.refuse(w, r, verdict.New(verdict.NotRun, verdict.ReasonLeaving, retryLater))
+		s.refuse(w, r, verdict.New(verdict.NotRun, verdict.ReasonLeaving, retryAfter))
 		return nil
 	}
 	req, key, err := s.parse(w, r)
@@ -141,7 +144,7 @@
 		return nil
 	}
 	if key != nil {
-		s.keyed(w, req, *key)
+		s.keyedRequest(w, req, *key)
 		return nil
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), req.Deadline)
@@ -159,11 +162,12 @@
 	s.log.WithFields(logrus.Fields{
 		"Verdict": e.Verdict, "Reason": e.Reason, "Method": r.Method, "Path": r.URL.Path, "Err": e.Err,
 	}).Info("RequestRefused")
-	// A body that was not read would be taken for the next request, or keep
-	// the connection busy; net/http closes it when it is long.
+	// The body may be unread. net/http then reads the rest, so that it is not
+	// taken for the next request, or closes the connection if the rest is long.
 	forward.Refuse(w, e)
 }
 
+// remoteAddr returns the address of the client, the zero Addr if it is not known.
 func remoteAddr(r *http.Request) netip.Addr {
 	addr, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil {
@@ -172,7 +176,7 @@
 	return addr.Addr().Unmap()
 }
 
-// splitService parts a path into service and the rest.
+// splitService splits a path into the service and the path within it.
 func splitService(path string) (service, rest string) {
 	service, rest, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	return service, "/" + rest
