--- a/io/lifecycle/lifecycle.go
+++ b/io/lifecycle/lifecycle.go
@@ -1,5 +1,4 @@
-// Package lifecycle has what the loops and servers of every process of ours
-// have in common.
+// Package lifecycle has helpers for the loops and servers of a process.
 //
 // # Usage
 //
@@ -21,7 +20,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Every calls f at once and then at each interval until ctx ends.
+// Every calls f immediately and then at each interval, until ctx ends.
 func Every(ctx context.Context, interval time.Duration, f func(now time.Time)) {
 	t := time.NewTicker(interval)
 	defer t.Stop()
@@ -36,7 +35,7 @@
 	}
 }
 
-// Pause waits, and reports whether ctx goes on.
+// Pause waits for d or until ctx ends. It reports whether d has passed.
 func Pause(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -48,12 +47,12 @@
 	}
 }
 
-// Share returns a part of a time.
+// Share returns the given part of d, where 1 is all of it.
 func Share(d time.Duration, part float64) time.Duration { return time.Duration(part * float64(d)) }
 
-// Serving runs the servers of a process.
+// Serving runs the servers of a process and collects their errors.
 type Serving struct {
-	// Failed has the error of each server that ended by itself.
+	// Failed receives the error of each server that ended before Stop.
 	Failed  chan error
 	stopped atomic.Bool
 }
@@ -61,10 +60,11 @@
 // NewServing returns a Serving for up to n servers.
 func NewServing(n int) *Serving { return &Serving{Failed: make(chan error, n)} }
 
-// Stop says that servers end from now on because they are meant to.
+// Stop marks the servers as stopping: from now on their errors are dropped.
 func (s *Serving) Stop() { s.stopped.Store(true) }
 
-// Run serves one listener until it fails or the process stops.
+// Run calls serve with l, and sends its error to Failed unless the server was
+// stopped.
 func (s *Serving) Run(serve func(net.Listener) error, l net.Listener) {
 	err := serve(l)
 	if err != nil && !errors.Is(err, http.ErrServerClosed) && !s.stopped.Load() {
@@ -72,11 +72,11 @@
 	}
 }
 
-// Group is the goroutines of a process that it waits for at its end. The zero
-// value is ready.
+// Group is a set of goroutines that a process waits for before it exits. The zero
+// value is ready to use.
 type Group struct{ sync.WaitGroup }
 
-// Start runs a loop until it returns.
+// Start runs loop in a goroutine of the group.
 func (g *Group) Start(ctx context.Context, loop func(context.Context)) {
 	g.Add(1)
 	go g.run(ctx, loop)
