--- a/io/clock/clock.go
+++ b/io/clock/clock.go
@@ -1,8 +1,9 @@
-// Package clock reads the kernel's clock that goes on while the machine is suspended.
+// Package clock reads the kernel's boot-time clock, which includes the time that the
+// machine is suspended.
 //
-// The monotonic clock, by which Go measures time, stands still meanwhile: a VM that was
-// suspended for ten seconds would take what it knew before for ten seconds younger than it
-// is, and admit keys that were taken away. The time of day goes on too, and may jump.
+// Go measures time by the monotonic clock, which stops during a suspension: after ten
+// seconds of suspension a VM would take its data for ten seconds newer than it is, and
+// admit keys that have been revoked. The wall clock does not stop either, but may jump.
 //
 // # Usage
 //
@@ -20,8 +21,8 @@
 	"auburnlatch/core/lease"
 )
 
-// Boot returns the time since the machine started, suspensions included. It panics on a
-// kernel that has no such clock, without which keys cannot be judged.
+// Boot returns the time since the machine booted, suspensions included. It panics if the
+// kernel has no such clock, as the age of keys cannot be determined without it.
 func Boot() lease.Moment {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
