--- a/io/hangup/hangup.go
+++ b/io/hangup/hangup.go
@@ -1,10 +1,10 @@
-// Package hangup tells of SIGHUP, by which operators have a process read its settings again.
+// Package hangup receives SIGHUP, on which a process reloads its settings.
 //
-// A process that has asked for nothing ends by that signal, and between exec and the first
-// code that can ask there are milliseconds. That time is the starter's: one that ignores
-// SIGHUP before exec, as nohup does, has it ignored until this package asks, which is when
-// it is initialized, and no signal ends the process. Settings that are read afterwards are
-// newer than a signal that was ignored.
+// SIGHUP terminates a process that has not called signal.Notify, and some milliseconds pass
+// between exec and the first Go code that can call it. To protect a process in that time,
+// its parent ignores SIGHUP before exec, as nohup does. The signal then stays ignored until
+// this package is initialized and calls signal.Notify. An ignored signal needs no reload, as
+// the settings are read after it.
 //
 // # Usage
 //
@@ -17,10 +17,11 @@
 	"syscall"
 )
 
-// signals holds one signal: settings are read once for all that came meanwhile.
+// signals buffers one signal: a single reload covers all signals that arrived before it.
 var signals = make(chan os.Signal, 1)
 
 func init() { signal.Notify(signals, syscall.SIGHUP) }
 
-// Signals returns the channel on which signals arrive, also those from before the call.
+// Signals returns the channel of received signals, including one that arrived before the
+// call.
 func Signals() <-chan os.Signal { return signals }
--- a/io/hangup/hangup_test.go
+++ b/io/hangup/hangup_test.go
@@ -14,7 +14,7 @@
 	"auburnlatch/io/hangup"
 )
 
-// childEnv has the test binary be the process that is signalled.
+// childEnv is set in the environment of the child process, which receives the signals.
 const childEnv = "HANGUP_TEST_CHILD"
 
 func TestMain(m *testing.M) {
@@ -27,8 +27,8 @@
 	}
 }
 
-// Guards against a process that SIGHUP ends as it starts, though who started it had the
-// signal ignored, and against one that ignores the signal for good.
+// SIGHUP is sent during the first milliseconds of a process whose parent ignores the
+// signal. The process must not be terminated, and must receive SIGHUP after its start.
 func TestSignalDuringStart(t *testing.T) {
 	signal.Ignore(syscall.SIGHUP)
 	defer signal.Reset(syscall.SIGHUP)
@@ -55,13 +55,13 @@
 			}
 			lines := bufio.NewScanner(out)
 			if !lines.Scan() || lines.Text() != "started" {
-				t.Fatalf("said %q, want it to start", lines.Text())
+				t.Fatalf("child printed %q, want \"started\"", lines.Text())
 			}
 			if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 				t.Fatal(err)
 			}
 			if !lines.Scan() || lines.Text() != "signalled" {
-				t.Fatalf("said %q after a signal, want to be told of it", lines.Text())
+				t.Fatalf("child printed %q after SIGHUP, want \"signalled\"", lines.Text())
 			}
 		})
 	}
