--- a/io/vm/bench_test.go
+++ b/io/vm/bench_test.go
@@ -11,8 +11,8 @@
 	"auburnlatch/standin/rusage"
 )
 
-// cpu returns the processor time the process has used.
-func cpu(b *testing.B) time.Duration {
+// cpuTime returns the processor time the process has used.
+func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	used, err := rusage.ProcessorTime()
 	if err != nil {
@@ -21,13 +21,13 @@
 	return used
 }
 
-// measure calls f for each iteration and reports the median time and the
-// processor time of one, of everybody in the process: the caller, the VMs and
-// the upstream.
+// measure calls f for each iteration and reports the median time and the mean
+// processor time of a call. The processor time is that of the whole process: the
+// caller, the VMs and the upstream.
 func measure(b *testing.B, f func() error) {
 	b.Helper()
 	times := make([]time.Duration, 0, 1<<16)
-	before := cpu(b)
+	before := cpuTime(b)
 	for b.Loop() {
 		started := time.Now()
 		if err := f(); err != nil {
@@ -35,7 +35,7 @@
 		}
 		times = append(times, time.Since(started))
 	}
-	used := cpu(b) - before
+	used := cpuTime(b) - before
 	slices.Sort(times)
 	b.ReportMetric(float64(times[len(times)/2].Microseconds()), "µs-median")
 	b.ReportMetric(float64(used.Microseconds())/float64(len(times)), "cpu-µs/op")
@@ -51,11 +51,11 @@
 	return err
 }
 
-// BenchmarkRequest is a read sent directly to an upstream, through one VM, and
-// through one VM and another in a second zone.
+// BenchmarkRequest measures a read sent directly to an upstream, through one VM,
+// and through two VMs of different zones; a look-up; and a booking.
 func BenchmarkRequest(b *testing.B) {
 	f := newFleet(b, "z1", "z2")
-	a := f.up(vmAt{"a", "z1"}, vmAt{"b", "z2"})
+	a := f.startServing(vmSpec{"a", "z1"}, vmSpec{"b", "z2"})
 	client := &http.Client{}
 	b.Run("Direct", func(b *testing.B) {
 		url := "http://" + f.inv.Target("z1-0").Addr + "/x"
--- a/io/vm/config.go
+++ b/io/vm/config.go
@@ -15,19 +15,19 @@
 	"auburnlatch/io/platform"
 )
 
-// keptChanges is how many changes a VM keeps for its peers.
-const keptChanges = 1000
+// maxChanges is how many changes a VM keeps for its peers.
+const maxChanges = 1000
 
-// config holds the inventory in force. A version is never followed by a lower
-// one. It is safe for concurrent use.
+// config holds the inventory in force, whose version never decreases. It is safe
+// for concurrent use.
 type config struct {
 	register *platform.Register
 	log      *logrus.Entry
 
 	mu      sync.Mutex
 	inv     *inventory.Inventory
-	changes []inventory.Change // The last ones, up to inv's version.
-	loaded  bool               // Whether the platform or a peer was asked with success.
+	changes []inventory.Change // The latest ones, up to inv's version.
+	loaded  bool               // The platform or a peer has answered.
 	at      time.Time          // When inv came into force.
 }
 
@@ -35,14 +35,14 @@
 	return &config{register: r, log: log, inv: &inventory.Inventory{}}
 }
 
-// Inventory returns the version in force.
+// Inventory returns the inventory in force.
 func (c *config) Inventory() *inventory.Inventory {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.inv
 }
 
-// Loaded reports whether the VM has learned the inventory from anybody.
+// Loaded reports whether the platform or a peer has answered.
 func (c *config) Loaded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,8 +63,8 @@
 	return append([]inventory.Change(nil), c.changes[version-first:]...), true
 }
 
-// install brings accepted changes into force, those that follow the version in
-// force, and passes over the ones it has.
+// install applies accepted changes to the inventory in force. It skips those that
+// are in force already.
 func (c *config) install(now time.Time, changes []inventory.Change) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,15 +79,15 @@
 		}
 		c.inv, c.at = next, now
 		c.changes = append(c.changes, change)
-		if len(c.changes) > keptChanges {
-			c.changes = c.changes[len(c.changes)-keptChanges:]
+		if len(c.changes) > maxChanges {
+			c.changes = c.changes[len(c.changes)-maxChanges:]
 		}
 		c.log.WithFields(logrus.Fields{"Version": next.Version, "Change": change.ID, "Author": change.Author}).Info("InventoryInForce")
 	}
 	return nil
 }
 
-// replace brings a whole version into force, unless it is lower.
+// replace puts inv into force if its version is higher than the present one.
 func (c *config) replace(now time.Time, inv *inventory.Inventory) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,7 +99,8 @@
 	c.log.WithField("Version", inv.Version).Info("InventoryInForce")
 }
 
-// poll reads the head from the platform and catches up with it.
+// poll reads the head from the platform, and the changes or the snapshot that this
+// VM lacks.
 func (c *config) poll(ctx context.Context) error {
 	head, err := c.register.Head(ctx)
 	if err != nil {
@@ -122,7 +123,7 @@
 	return c.install(time.Now(), changes)
 }
 
-// pull catches up from another VM.
+// pull reads the changes that this VM lacks from another VM.
 func (c *config) pull(ctx context.Context, peers *peer.Client, addr string) error {
 	got, err := peers.Changes(ctx, addr, c.Inventory().Version)
 	if err != nil {
@@ -135,8 +136,8 @@
 	return c.install(time.Now(), got.Changes)
 }
 
-// accept makes a change the newest version. insist accepts one that leaves a
-// service without a target.
+// accept makes a change the newest version. It returns an UnservedError if the
+// change leaves a service without a target, unless insist is set.
 func (c *config) accept(ctx context.Context, change inventory.Change, insist bool) (*inventory.Inventory, error) {
 	if err := c.poll(ctx); err != nil {
 		return nil, verdict.Wrap(err, verdict.NotRun, verdict.ReasonPlatform, time.Second)
@@ -151,7 +152,7 @@
 	}
 	if err := c.register.Accept(ctx, change, next); err != nil {
 		if errors.Is(err, inventory.ErrVersion) {
-			// Whoever lost the race is told of the others' changes.
+			// Another change was accepted first: read it, as the operator asks for it.
 			_ = c.poll(ctx)
 		}
 		return nil, err
@@ -159,14 +160,16 @@
 	return next, c.install(time.Now(), []inventory.Change{change})
 }
 
+// newlyUnserved returns the services that have no target in after but had one in
+// before.
 func newlyUnserved(before, after *inventory.Inventory) []string {
-	had := make(map[string]bool)
+	unserved := make(map[string]bool)
 	for _, name := range before.Unserved() {
-		had[name] = true
+		unserved[name] = true
 	}
 	var names []string
 	for _, name := range after.Unserved() {
-		if !had[name] {
+		if !unserved[name] {
 			names = append(names, name)
 		}
 	}
--- a/io/vm/control_bench_test.go
+++ b/io/vm/control_bench_test.go
@@ -11,11 +11,11 @@
 	"auburnlatch/io/settings"
 )
 
-// asDelivered are the intervals of the default settings, but for short
-// look-ups, so that stopping is quick.
-var asDelivered = settings.Timing{
+// defaultTiming has the intervals of the default settings, except for a short
+// look-up TTL, so that VMs stop quickly.
+var defaultTiming = settings.Timing{
 	Heartbeat: 500 * time.Millisecond, FailAfter: 3 * time.Second, JoinHold: 6 * time.Second,
-	ConfigPoll: time.Second, LookupTTL: 200 * time.Millisecond, Probe: time.Second, StopGrace: patience,
+	ConfigPoll: time.Second, LookupTTL: 200 * time.Millisecond, Probe: time.Second, StopGrace: waitTimeout,
 }
 
 // idleFleet starts VMs with default intervals and no callers.
@@ -26,7 +26,7 @@
 		names = append(names, fmt.Sprint("z", z))
 	}
 	f := newFleet(b, names...)
-	f.timing = asDelivered
+	f.timing = defaultTiming
 	var first *runningVM
 	for _, z := range names {
 		for i := range perZone {
@@ -40,9 +40,9 @@
 	return f
 }
 
-// BenchmarkControl is what control costs a VM that has nothing else to do, by
-// the number of VMs in its zone and the number of zones. Everything runs in
-// this process, stand-ins included.
+// BenchmarkControl measures the cost of the control protocol for an idle VM, by the
+// number of zones and of VMs in a zone. Everything runs in this process, including
+// the stand-ins.
 func BenchmarkControl(b *testing.B) {
 	const watch = 10 * time.Second
 	for _, size := range []struct{ zones, perZone int }{{2, 2}, {2, 16}, {12, 2}, {24, 2}} {
@@ -55,7 +55,7 @@
 					in, out := v.controlTraffic()
 					before += in + out
 				}
-				used, reads := cpu(b), f.platform.Stats().Reads
+				cpuBefore, reads := cpuTime(b), f.platform.Stats().Reads
 				<-time.After(watch)
 				for _, v := range f.vms {
 					in, out := v.controlTraffic()
@@ -63,16 +63,16 @@
 				}
 				perVM := float64(len(f.vms)) * watch.Seconds()
 				b.ReportMetric(float64(after-before)/1000/perVM, "KB/s/VM")
-				b.ReportMetric(float64((cpu(b)-used).Microseconds())/1000/perVM, "cpu-ms/s/VM")
+				b.ReportMetric(float64((cpuTime(b)-cpuBefore).Microseconds())/1000/perVM, "cpu-ms/s/VM")
 				b.ReportMetric(float64(f.platform.Stats().Reads-reads)/watch.Seconds(), "reads/s")
 			}
 		})
 	}
 }
 
-// BenchmarkConfigSpread is the time from the acceptance of a change until it is
-// in force on all of 12 VMs in six zones.
-func BenchmarkConfigSpread(b *testing.B) {
+// BenchmarkConfigPropagation measures the time from the acceptance of a change until
+// it is in force on all of 12 VMs in six zones.
+func BenchmarkConfigPropagation(b *testing.B) {
 	f := idleFleet(b, 6, 2)
 	var first *runningVM
 	for _, v := range f.vms {
--- a/io/vm/directory.go
+++ b/io/vm/directory.go
@@ -8,11 +8,11 @@
 	"auburnlatch/core/member"
 )
 
-// directory is where the VMs of all zones are, as of the last refresh. It does
-// not change once it is in use.
+// directory has the addresses of the VMs of all zones, as of the last refresh. Only
+// the cache in ranked changes after its creation.
 type directory struct {
 	zones  map[string][]member.Address
-	ranked sync.Map // Of []member.Address, by zoneService.
+	ranked sync.Map // From zoneService to []member.Address.
 }
 
 type zoneService struct{ zone, service string }
@@ -26,7 +26,8 @@
 }
 
 // vms returns the VMs of a zone that take requests, the service's dispatchers
-// first. Ranking them is kept, as it costs more than a request's other decisions.
+// first. The ranking is cached, as it costs more than all other decisions about a
+// request.
 func (d *directory) vms(zone, service string) []member.Address {
 	key := zoneService{zone, service}
 	if list, ok := d.ranked.Load(key); ok {
--- a/io/vm/fleet_test.go
+++ b/io/vm/fleet_test.go
@@ -27,12 +27,13 @@
 )
 
 const (
-	// patience bounds the wait for something that must come about.
-	patience = 20 * time.Second
-	pollTest = 10 * time.Millisecond
+	// waitTimeout bounds the wait for a condition.
+	waitTimeout  = 20 * time.Second
+	pollInterval = 10 * time.Millisecond
 )
 
-// fleet is some VMs in this process, with stand-ins around them.
+// fleet is a set of VMs in this process, with stand-ins for the platform and the
+// upstreams.
 type fleet struct {
 	t         testing.TB
 	platform  *platform.Platform
@@ -43,22 +44,22 @@
 	timing    settings.Timing
 }
 
-// quick has everything go ten times as fast as by default.
-var quick = settings.Timing{
+// fastTiming has intervals of about a tenth of the default ones.
+var fastTiming = settings.Timing{
 	Heartbeat: 50 * time.Millisecond, FailAfter: 500 * time.Millisecond, JoinHold: 3 * time.Second,
-	ConfigPoll: 100 * time.Millisecond, LookupTTL: 200 * time.Millisecond, Probe: 200 * time.Millisecond, StopGrace: patience,
+	ConfigPoll: 100 * time.Millisecond, LookupTTL: 200 * time.Millisecond, Probe: 200 * time.Millisecond, StopGrace: waitTimeout,
 }
 
 // runningVM is a VM with the means to stop it.
 type runningVM struct {
 	*VM
-	stop context.CancelFunc
-	done chan error
-	wire *network
+	stop  context.CancelFunc
+	done  chan error
+	links *network
 }
 
-// network is what one VM can reach. A cut address refuses new connections, and
-// those that are open break.
+// network opens the connections of one VM. An address that is cut refuses new
+// connections, and the open ones to it are closed.
 type network struct {
 	mu   sync.Mutex
 	cut  map[string]bool
@@ -101,23 +102,23 @@
 	}
 }
 
-// partition cuts the VMs of a zone off from all other VMs and the platform, or
-// heals that.
+// partition cuts the VMs of a zone off from the VMs of all other zones and from the
+// platform, or heals the partition.
 func (f *fleet) partition(cut bool, zone string) {
 	for _, v := range f.vms {
 		for _, w := range f.vms {
 			if (v.cfg.Zone == zone) != (w.cfg.Zone == zone) {
-				v.wire.set(cut, w.cfg.PeerAddr, w.cfg.ForwardAddr)
+				v.links.set(cut, w.cfg.PeerAddr, w.cfg.ForwardAddr)
 			}
 		}
 		if v.cfg.Zone == zone {
-			v.wire.set(cut, strings.TrimPrefix(f.url, "http://"))
+			v.links.set(cut, strings.TrimPrefix(f.url, "http://"))
 		}
 	}
 }
 
-// kill makes a VM as good as dead for all others at once: nobody reaches it
-// and it reaches nobody.
+// kill simulates the sudden death of a VM: it cuts all connections between the VM
+// and the other VMs, the platform and the upstreams.
 func (f *fleet) kill(name string) {
 	dead := f.vms[name]
 	delete(f.vms, name)
@@ -126,12 +127,12 @@
 		<-dead.done
 	})
 	for _, v := range f.vms {
-		v.wire.set(true, dead.cfg.PeerAddr, dead.cfg.ForwardAddr)
-		dead.wire.set(true, v.cfg.PeerAddr, v.cfg.ForwardAddr)
+		v.links.set(true, dead.cfg.PeerAddr, dead.cfg.ForwardAddr)
+		dead.links.set(true, v.cfg.PeerAddr, v.cfg.ForwardAddr)
 	}
-	dead.wire.set(true, strings.TrimPrefix(f.url, "http://"))
+	dead.links.set(true, strings.TrimPrefix(f.url, "http://"))
 	for _, t := range f.inv.Targets {
-		dead.wire.set(true, t.Addr)
+		dead.links.set(true, t.Addr)
 	}
 }
 
@@ -139,7 +140,7 @@
 // zone, with four slots each. No VM is started.
 func newFleet(t testing.TB, zones ...string) *fleet {
 	t.Helper()
-	f := &fleet{t: t, platform: platform.New(), upstreams: map[string]*upstream.Upstream{}, vms: map[string]*runningVM{}, timing: quick}
+	f := &fleet{t: t, platform: platform.New(), upstreams: map[string]*upstream.Upstream{}, vms: map[string]*runningVM{}, timing: fastTiming}
 	f.url = f.serve(f.platform)
 	ops := []inventory.Op{
 		{Region: &inventory.Region{Name: "r"}},
@@ -174,7 +175,7 @@
 	return srv.URL
 }
 
-// start starts a VM. All VMs of a fleet start from the same seeds.
+// start starts a VM. Its seeds are the VMs that run already.
 func (f *fleet) start(name, zone string) *runningVM {
 	f.t.Helper()
 	cfg := &settings.Settings{
@@ -191,24 +192,24 @@
 	f.platform.SetVM(name, zone, cfg.PeerAddr, false)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	wire := &network{cut: map[string]bool{}}
-	v, err := New(cfg, log.WithField("VM", name), WithDial(wire.dial))
+	links := &network{cut: map[string]bool{}}
+	v, err := New(cfg, log.WithField("VM", name), WithDial(links.dial))
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r := &runningVM{VM: v, stop: stop, done: make(chan error, 1), wire: wire}
+	r := &runningVM{VM: v, stop: stop, done: make(chan error, 1), links: links}
 	f.vms[name] = r
 	go func() { r.done <- v.Run(ctx) }()
 	return r
 }
 
-// vmAt is a VM to start.
-type vmAt struct{ name, zone string }
+// vmSpec is a VM to start.
+type vmSpec struct{ name, zone string }
 
-// up starts VMs, applies the fleet's inventory through the first, and returns
-// that one when all slots are in force and every VM serves.
-func (f *fleet) up(vms ...vmAt) *runningVM {
+// startServing starts VMs, applies the fleet's inventory through the first one, and
+// returns it when all slots are in force and every VM serves.
+func (f *fleet) startServing(vms ...vmSpec) *runningVM {
 	f.t.Helper()
 	var first *runningVM
 	for _, vm := range vms {
@@ -218,7 +219,7 @@
 		}
 	}
 	f.apply(first)
-	f.serving()
+	f.waitServing()
 	return first
 }
 
@@ -258,9 +259,10 @@
 	if _, err := through.Accept(context.Background(), change, false); err != nil {
 		f.t.Fatal(err)
 	}
-	f.until("the inventory is in force everywhere", func() bool { return f.allAt(1) })
+	f.waitFor("the inventory is in force everywhere", func() bool { return f.allAt(1) })
 }
 
+// allAt reports whether all VMs have at least this version of the inventory.
 func (f *fleet) allAt(version uint64) bool {
 	for _, v := range f.vms {
 		if v.Inventory().Version < version {
@@ -270,10 +272,11 @@
 	return true
 }
 
-// serving waits until the VMs of each zone have all of its slots.
-func (f *fleet) serving() {
+// waitServing waits until all slots of the upstreams are in force and every VM
+// serves.
+func (f *fleet) waitServing() {
 	f.t.Helper()
-	f.until("all slots are in force", func() bool {
+	f.waitFor("all slots are in force", func() bool {
 		inForce := map[string]int{}
 		for _, v := range f.vms {
 			for _, t := range v.pool.Targets() {
@@ -287,7 +290,7 @@
 		}
 		return true
 	})
-	f.until("a read is served by every VM", func() bool {
+	f.waitFor("a read is served by every VM", func() bool {
 		for _, v := range f.vms {
 			if resp, _ := f.get(v, "/istoric/x"); resp == nil || resp.StatusCode != http.StatusOK {
 				return false
@@ -297,18 +300,19 @@
 	})
 }
 
-func (f *fleet) until(what string, ok func() bool) {
+// waitFor waits until ok returns true. It fails the test after waitTimeout.
+func (f *fleet) waitFor(what string, ok func() bool) {
 	f.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("after %v still not: %s", patience, what)
+			f.t.Fatalf("not reached within %v: %s", waitTimeout, what)
 		}
-		<-time.After(pollTest)
+		<-time.After(pollInterval)
 	}
 }
 
-// get reads through a VM; the response is nil where it could not be had whole.
+// get reads through a VM. The response is nil if it was not received completely.
 func (f *fleet) get(v *runningVM, path string) (*http.Response, string) {
 	return f.send(v, http.MethodGet, path, http.NoBody, nil)
 }
@@ -334,10 +338,12 @@
 	return resp, string(data)
 }
 
+// keyed returns the header fields of a booking.
 func keyed(key string) map[string]string {
 	return map[string]string{"Idempotency-Key": key, forward.HeaderCaller: "depot"}
 }
 
+// runs returns how often the booking with an idempotency key ran at upstreams.
 func (f *fleet) runs(key string) (n uint64) {
 	for _, u := range f.upstreams {
 		n += u.Runs(key)
@@ -345,6 +351,7 @@
 	return n
 }
 
+// setFaults sets the faults of all upstreams whose name starts with zone.
 func (f *fleet) setFaults(zone string, faults *schema.UpstreamFaults) {
 	for name, u := range f.upstreams {
 		if strings.HasPrefix(name, zone) {
@@ -353,7 +360,8 @@
 	}
 }
 
-// slowBody is an upload that goes on for as long as the test wants.
+// slowBody is the body of an upload whose parts the test sends, until it closes
+// the channel.
 type slowBody struct {
 	parts chan []byte
 	rest  bytes.Reader
--- a/io/vm/health.go
+++ b/io/vm/health.go
@@ -16,22 +16,23 @@
 )
 
 const (
-	// probers of an upstream.
-	probers = 2
-	// failedProbes in a row put an upstream down.
-	failedProbes = 2
+	// probersPerUpstream is how many VMs of the zone probe an upstream.
+	probersPerUpstream = 2
+	// downThreshold is how many consecutive failed probes make an upstream Down.
+	downThreshold = 2
 )
 
-// healthBook is what this VM's own probes found. It is safe for concurrent use.
-type healthBook struct {
+// healthRecord has the results of this VM's own probes. It is safe for concurrent
+// use.
+type healthRecord struct {
 	mu     sync.Mutex
-	states map[string]dispatch.Health
-	failed map[string]int
+	states map[string]dispatch.Health // By target.
+	failed map[string]int             // Consecutive failed probes, by target.
 }
 
-// note takes in a probe's outcome and returns the state it leaves the upstream
-// in; one failed probe alone changes nothing.
-func (b *healthBook) note(target string, h dispatch.Health, err error) (now, before dispatch.Health) {
+// record records the outcome of a probe and returns the upstream's state after and
+// before it. A single failed probe does not change the state.
+func (b *healthRecord) record(target string, h dispatch.Health, err error) (now, before dispatch.Health) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.states == nil {
@@ -40,7 +41,7 @@
 	before = b.states[target]
 	if err != nil {
 		b.failed[target]++
-		if b.failed[target] < failedProbes {
+		if b.failed[target] < downThreshold {
 			return before, before
 		}
 		h = dispatch.Down
@@ -51,16 +52,16 @@
 	return h, before
 }
 
-// keep forgets upstreams this VM does not probe any more.
-func (b *healthBook) keep(probed map[string]bool) {
+// retain deletes the results of upstreams that this VM does not probe any more.
+func (b *healthRecord) retain(probed map[string]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	maps.DeleteFunc(b.states, func(target string, _ dispatch.Health) bool { return !probed[target] })
 	maps.DeleteFunc(b.failed, func(target string, _ int) bool { return !probed[target] })
 }
 
-// reports returns the states that are not Up, for the mates.
-func (b *healthBook) reports() map[string]string {
+// reports returns the states other than Up, which the VM publishes to its peers.
+func (b *healthRecord) reports() map[string]string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make(map[string]string)
@@ -72,14 +73,15 @@
 	return out
 }
 
-func (b *healthBook) probes(target string) bool {
+// probes reports whether this VM has probed the target itself.
+func (b *healthRecord) probes(target string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	_, ok := b.states[target]
 	return ok
 }
 
-// probeLoop probes the upstreams this VM is chosen for.
+// probeLoop probes the upstreams for which this VM is ranked among the probers.
 func (v *VM) probeLoop(ctx context.Context) {
 	lifecycle.Every(ctx, v.cfg.Timing.Probe, func(now time.Time) {
 		live := v.table.Live(now)
@@ -87,14 +89,14 @@
 		var wg sync.WaitGroup
 		for _, t := range v.config.Inventory().ZoneTargets(v.cfg.Zone) {
 			ranked := dispatch.Rank("probe/"+t.Name, live)
-			if slices.Contains(ranked[:min(probers, len(ranked))], v.cfg.Name) {
+			if slices.Contains(ranked[:min(probersPerUpstream, len(ranked))], v.cfg.Name) {
 				mine[t.Name] = true
 				wg.Add(1)
 				go (&probe{vm: v, target: t, wg: &wg}).run(ctx)
 			}
 		}
 		wg.Wait()
-		v.health.keep(mine)
+		v.health.retain(mine)
 	})
 }
 
@@ -105,23 +107,23 @@
 	wg     *sync.WaitGroup
 }
 
-// run probes and takes the outcome in.
+// run probes the upstream and records the outcome.
 func (p *probe) run(ctx context.Context) {
 	defer p.wg.Done()
 	h, err := p.vm.upstreams.Probe(ctx, p.target)
 	if ctx.Err() != nil {
 		return
 	}
-	state, before := p.vm.health.note(p.target.Name, h, err)
+	state, before := p.vm.health.record(p.target.Name, h, err)
 	p.vm.pool.ReportHealth(time.Now(), p.target.Name, state)
 	if state != before {
 		p.vm.log.WithFields(logrus.Fields{"Target": p.target.Name, "Health": state, "Before": before, "Err": err}).Info("HealthChanged")
 	}
 }
 
-// takeHealth takes in what mates found about the upstreams this VM does not
-// probe itself.
-func (v *VM) takeHealth(now time.Time, inv *inventory.Inventory) {
+// mergeHealth applies the states that peers published for the upstreams that this
+// VM does not probe itself.
+func (v *VM) mergeHealth(now time.Time, inv *inventory.Inventory) {
 	found := make(map[string]dispatch.Health)
 	for _, m := range v.table.Peers(now) {
 		if m.State != member.Live {
@@ -138,8 +140,8 @@
 	}
 }
 
-// worse returns the state that counts of two reports: that an upstream leaves
-// is its own word and outranks the rest.
+// worse returns the worse of two reported states. Leaving comes first, as the
+// upstream reports it itself, then Down, then Cold.
 func worse(a, b dispatch.Health) dispatch.Health {
 	for _, h := range []dispatch.Health{dispatch.Leaving, dispatch.Down, dispatch.Cold} {
 		if a == h || b == h {
--- a/io/vm/heartbeat.go
+++ b/io/vm/heartbeat.go
@@ -15,57 +15,59 @@
 )
 
 const (
-	// matesPerBeat is how many mates a VM exchanges with on each heartbeat.
-	matesPerBeat = 1
-	// globalBeats is the interval between exchanges about all zones, and
-	// between renewals of the figures of load, in heartbeats.
-	globalBeats = 4
-	// representatives of a zone exchange with other zones.
+	// peersPerHeartbeat is how many zone peers, and how many listed VMs of the zone
+	// that have not been seen yet, a VM exchanges state with on each heartbeat.
+	peersPerHeartbeat = 1
+	// globalHeartbeats is the interval between exchanges about all zones, and
+	// between updates of the published load, in heartbeats.
+	globalHeartbeats = 4
+	// representatives is how many VMs of a zone exchange state with other zones.
 	representatives = 2
-	// listBeats is the interval between reads of the platform's list of VMs, in
-	// heartbeats.
-	listBeats = 10
-	// joiningListBeats is the same for a VM the list does not have.
-	joiningListBeats = 2
-	// joinBeats is how long a VM that the platform's list has listens before it
-	// takes slots, in heartbeats: about what a word takes to go round a zone.
-	joinBeats = 4
-	// steerEvery is the interval between moves of the weights.
-	steerEvery = time.Second
+	// listHeartbeats is the interval between reads of the platform's list of VMs,
+	// in heartbeats.
+	listHeartbeats = 10
+	// joiningListHeartbeats is the same for a VM that is not on the list yet.
+	joiningListHeartbeats = 2
+	// joinHeartbeats is how long a VM on the platform's list only receives before
+	// it takes slots, in heartbeats: about the time in which an update reaches all
+	// VMs of a zone.
+	joinHeartbeats = 4
+	// steerInterval is the interval between moves of the weights.
+	steerInterval = time.Second
 )
 
-// startLoops starts everything that runs by itself.
+// startLoops starts the background loops.
 func (v *VM) startLoops(ctx context.Context) {
 	for _, loop := range []func(context.Context){v.heartbeatLoop, v.configLoop, v.listLoop, v.steerLoop, v.probeLoop, v.sweepLoop} {
 		v.background.Start(ctx, loop)
 	}
 }
 
-// heartbeatLoop publishes the VM's state and exchanges it with others.
+// heartbeatLoop publishes the VM's state and exchanges it with other VMs.
 func (v *VM) heartbeatLoop(ctx context.Context) {
 	lifecycle.Every(ctx, v.cfg.Timing.Heartbeat, func(now time.Time) {
-		v.beat(now)
+		v.heartbeat(now)
 		v.exchangeAll(ctx, now)
 		v.peers.CloseIdle(now)
 	})
 }
 
-// beat takes in what is known and publishes the VM's own state. One runs at a
-// time: were an older one to publish last, mates would hear of fewer slots than
-// are in force, and take them.
-func (v *VM) beat(now time.Time) {
-	v.beating.Lock()
-	defer v.beating.Unlock()
+// heartbeat applies the state received from peers and publishes the VM's own state.
+// Calls are serialized: if an older call published last, peers would see fewer
+// slots held than are in force, and take the others.
+func (v *VM) heartbeat(now time.Time) {
+	v.heartbeatMu.Lock()
+	defer v.heartbeatMu.Unlock()
 	v.table.Tick(now)
 	inv := v.config.Inventory()
-	v.takeHealth(now, inv)
+	v.mergeHealth(now, inv)
 	view := v.view(now, inv)
 	held := v.pool.Tick(now, view)
 	v.table.Publish(now, member.VM{
 		Name: v.cfg.Name, Zone: v.cfg.Zone, Address: v.address(), Leaving: v.leaving.Load(), Version: inv.Version,
 		Dispatches: view.Synced, Held: held, Pending: v.pool.Pending(), Health: v.health.reports(),
 	})
-	if v.beats.Add(1)%globalBeats != 0 {
+	if v.heartbeats.Add(1)%globalHeartbeats != 0 {
 		return
 	}
 	v.table.PublishUsage(now, member.Usage{
@@ -77,9 +79,10 @@
 	}
 }
 
-// joinHold is how long a listed VM listens before it takes slots.
-func (v *VM) joinHold() time.Duration { return joinBeats * v.cfg.Timing.Heartbeat }
+// joinHold is how long a listed VM only receives before it takes slots.
+func (v *VM) joinHold() time.Duration { return joinHeartbeats * v.cfg.Timing.Heartbeat }
 
+// address returns the VM's own addresses.
 func (v *VM) address() member.Address {
 	return member.Address{
 		Name: v.cfg.Name, Zone: v.cfg.Zone, Caller: v.cfg.CallerAddr, Forward: v.cfg.ForwardAddr,
@@ -87,12 +90,12 @@
 	}
 }
 
-// view states for the pool what is known of the zone.
+// view returns what this VM knows of its zone, for the pool.
 func (v *VM) view(now time.Time, inv *inventory.Inventory) dispatch.View {
-	fresh := v.table.Synced(now, member.JoinHold{Listed: v.joinHold(), Unlisted: v.cfg.Timing.JoinHold})
+	synced := v.table.Synced(now, member.JoinHold{Listed: v.joinHold(), Unlisted: v.cfg.Timing.JoinHold})
 	view := dispatch.View{
 		Targets: inv.ZoneTargets(v.cfg.Zone), Services: inv.Services,
-		Live: v.table.Dispatching(now, fresh), Seq: v.table.NextSeq(), Synced: fresh,
+		Live: v.table.Dispatching(now, synced), Seq: v.table.NextSeq(), Synced: synced,
 		Drained: map[string]bool{},
 	}
 	for _, t := range view.Targets {
@@ -114,15 +117,15 @@
 	return list
 }
 
-// represents reports whether this VM is one of the first n that speak for
-// their zone to the others. Only the first one sums the zone up; when it falls
-// silent the next is the first.
+// represents reports whether this VM is among the first n in the ranking of the
+// zone's live VMs as representatives. Only the first one publishes the zone's
+// roster and load; if it stops, the next one takes its place.
 func (v *VM) represents(now time.Time, n int) bool {
 	ranked := dispatch.Rank("represent/"+v.cfg.Zone, v.table.Live(now))
 	return slices.Contains(ranked[:min(n, len(ranked))], v.cfg.Name)
 }
 
-// partner is a VM to exchange with, and about what.
+// partner is a VM to exchange state with, and the scope of the exchange.
 type partner struct {
 	addr  string
 	scope member.Scope
@@ -142,32 +145,34 @@
 	}
 }
 
-// partners picks whom to exchange with: some mates, VMs of the zone that are
-// known by name only, and now and then for a representative one VM of another
-// zone. A VM that knows nobody asks its seeds.
+// partners picks the VMs to exchange state with on this heartbeat: a zone peer, a
+// VM of the zone that is listed but has not been seen yet, and, on every
+// globalHeartbeats-th heartbeat of a representative, a VM of another zone. A VM
+// that knows no zone peer or no VM of another zone also picks a seed.
 func (v *VM) partners(now time.Time) []partner {
-	global := v.beats.Load()%globalBeats == 0
+	global := v.heartbeats.Load()%globalHeartbeats == 0
 	own := member.Scope{Zone: v.cfg.Zone, Global: global}
-	var mates, strangers []partner
+	var peers, unseen []partner
 	for _, m := range v.table.Peers(now) {
 		if m.State != member.Gone {
-			mates = append(mates, partner{m.VM.Address.Peer, own})
+			peers = append(peers, partner{m.VM.Address.Peer, own})
 		}
 	}
 	for _, l := range v.table.UnseenPeers() {
-		strangers = append(strangers, partner{l.Peer, own})
+		unseen = append(unseen, partner{l.Peer, own})
 	}
-	list := append(sample(mates, matesPerBeat), sample(strangers, matesPerBeat)...)
+	list := append(sample(peers, peersPerHeartbeat), sample(unseen, peersPerHeartbeat)...)
 	others := v.otherZones(now)
 	if global && v.represents(now, representatives) {
 		list = append(list, sample(others, 1)...)
 	}
-	if len(mates) == 0 || len(others) == 0 {
+	if len(peers) == 0 || len(others) == 0 {
 		list = append(list, sample(v.seeds(), 1)...)
 	}
 	return list
 }
 
+// otherZones returns the VMs of all other zones.
 func (v *VM) otherZones(now time.Time) []partner {
 	var list []partner
 	for _, z := range v.table.Zones(now) {
@@ -181,8 +186,9 @@
 	return list
 }
 
-// seeds are addresses of which the zone is not known; an exchange with one
-// gives no entries of the own zone away, unless the platform lists it there.
+// seeds returns the configured seeds and the VMs on the platform's list. The zone
+// of a seed that is not on the list is not known; an exchange with it sends no
+// entries of the own zone's VMs.
 func (v *VM) seeds() []partner {
 	zones := make(map[string]string)
 	for _, l := range v.table.PlatformList() {
@@ -198,6 +204,7 @@
 	return list
 }
 
+// sample returns up to n random elements of list, which it shuffles.
 func sample(list []partner, n int) []partner {
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(n, len(list))]
@@ -209,8 +216,8 @@
 	partner partner
 }
 
-// run carries the exchange out, and takes over a newer inventory the others
-// have told of.
+// run performs the exchange, and pulls the inventory if a peer has published a
+// newer version.
 func (e *exchange) run(ctx context.Context) {
 	v := e.vm
 	defer v.background.Done()
@@ -222,7 +229,7 @@
 	v.catchUp(ctx)
 }
 
-// catchUp pulls the inventory from a mate that has a higher version.
+// catchUp pulls the inventory from a zone peer with a higher version.
 func (v *VM) catchUp(ctx context.Context) {
 	own := v.config.Inventory().Version
 	for _, m := range v.table.Peers(time.Now()) {
@@ -238,8 +245,8 @@
 	}
 }
 
-// configLoop polls the inventory's head. Two VMs of a zone do; the others hear
-// of a new version from them. A VM that has none yet always asks.
+// configLoop polls the inventory's head. Two VMs of a zone do so; a new version
+// propagates from them to the others. A VM that has no inventory yet always polls.
 func (v *VM) configLoop(ctx context.Context) {
 	lifecycle.Every(ctx, v.cfg.Timing.ConfigPoll, func(now time.Time) {
 		if v.config.Loaded() && !v.represents(now, representatives) {
@@ -248,7 +255,7 @@
 		before := v.config.Inventory().Version
 		if err := v.config.poll(ctx); err != nil {
 			v.log.WithField("Err", err).Warn("InventoryNotPolled")
-			v.pullFromAnyone(ctx)
+			v.pullFromSeeds(ctx)
 		}
 		if v.config.Inventory().Version != before {
 			v.refreshSoon()
@@ -256,9 +263,9 @@
 	})
 }
 
-// pullFromAnyone lets a fresh VM learn the inventory while the platform is
-// away.
-func (v *VM) pullFromAnyone(ctx context.Context) {
+// pullFromSeeds pulls the inventory from a seed, for a VM that starts while the
+// platform is unavailable.
+func (v *VM) pullFromSeeds(ctx context.Context) {
 	if v.config.Loaded() {
 		return
 	}
@@ -269,16 +276,17 @@
 	}
 }
 
-// listLoop reads the platform's list of VMs: now and then, and on every second
-// heartbeat while the list does not have this VM, which waits for that.
+// listLoop reads the platform's list of VMs every listHeartbeats heartbeats, and
+// every joiningListHeartbeats while this VM is not on the list, as it takes slots
+// earlier once it is.
 func (v *VM) listLoop(ctx context.Context) {
-	beats := 0
-	lifecycle.Every(ctx, joiningListBeats*v.cfg.Timing.Heartbeat, func(time.Time) {
-		beats += joiningListBeats
-		if beats < listBeats && v.table.IsListed() {
+	heartbeats := 0
+	lifecycle.Every(ctx, joiningListHeartbeats*v.cfg.Timing.Heartbeat, func(time.Time) {
+		heartbeats += joiningListHeartbeats
+		if heartbeats < listHeartbeats && v.table.IsListed() {
 			return
 		}
-		beats = 0
+		heartbeats = 0
 		list, err := v.platform.VMs(ctx)
 		if err != nil {
 			v.log.WithField("Err", err).Warn("PlatformListNotRead")
--- a/io/vm/leave.go
+++ b/io/vm/leave.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	drainPoll = 20 * time.Millisecond
-	// lastExchange bounds the telling of the mates that all is done.
-	lastExchange = 2 * time.Second
+	drainPollInterval = 20 * time.Millisecond
+	// lastExchangeTimeout bounds the last exchanges with the zone peers.
+	lastExchangeTimeout = 2 * time.Second
 )
 
-// errGrace is returned where requests were still in flight when the time for a
-// graceful stop was over. With claims left to settle it is ctx's own error.
-var errGrace = errors.New("requests were still in flight when the stop's grace period ended")
+// errStopGrace is returned if requests are still in flight at the end of the stop's
+// grace period. If only claims are left to settle, the error is that of the context.
+var errStopGrace = errors.New("requests were still in flight when the stop's grace period ended")
 
-// leave stops the VM without cutting anything off. It goes on taking requests
-// for as long as a look-up that names it may be cached: a caller that was sent
-// here must not find a closed door. Then it refuses new ones, which did not
-// run, and waits for those in flight.
+// leave stops the VM gracefully. The VM takes requests until the TTL of all look-ups
+// that name it has passed, as callers may use a cached look-up until then. After
+// that it refuses new requests with NotRun and waits for those in flight, for at
+// most the stop's grace period.
 func (v *VM) leave(callerSrv, forwardSrv *http.Server) error {
 	v.leaving.Store(true)
 	v.log.Info("VMLeaving")
 	now := time.Now()
-	v.beat(now)
+	v.heartbeat(now)
 	v.refreshLookups(now)
 	time.Sleep(v.cfg.Timing.LookupTTL + 2*v.cfg.Timing.Heartbeat)
 	v.callers.Refuse()
@@ -46,7 +46,7 @@
 	if err == nil {
 		err = v.callers.Settled(ctx)
 	}
-	v.sayGone()
+	v.publishReleased()
 	v.log.WithFields(logrus.Fields{"Took": time.Since(now), "Err": err}).Info("VMLeft")
 	return err
 }
@@ -56,20 +56,21 @@
 	for v.callers.InFlight() > 0 || v.forwarded.Load() > 0 || v.pool.InFlight() > 0 {
 		select {
 		case <-ctx.Done():
-			return errGrace
-		case <-time.After(drainPoll):
+			return errStopGrace
+		case <-time.After(drainPollInterval):
 		}
 	}
 	return nil
 }
 
-// sayGone tells the mates that nothing is held any more, so that they need not
-// wait for the platform's list to take the slots over.
-func (v *VM) sayGone() {
-	ctx, cancel := context.WithTimeout(context.Background(), lastExchange)
+// publishReleased exchanges with all zone peers once more, so that they learn that
+// this VM holds no slots any more. They can then take over its slots before the
+// platform's list says that it is gone.
+func (v *VM) publishReleased() {
+	ctx, cancel := context.WithTimeout(context.Background(), lastExchangeTimeout)
 	defer cancel()
 	now := time.Now()
-	v.beat(now)
+	v.heartbeat(now)
 	for _, m := range v.table.Peers(now) {
 		if m.State == member.Live || m.State == member.Leaving {
 			_ = v.peers.Exchange(ctx, m.VM.Address.Peer, v.table, v.cfg.Zone, member.Scope{Zone: v.cfg.Zone})
--- a/io/vm/metrics.go
+++ b/io/vm/metrics.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// publishOnce guards expvar's register, of which a process has one: it publishes the VM
-// that starts first.
+// publishOnce publishes the metrics of the VM that starts first only: expvar has one
+// registry per process, and panics if a name is published twice.
 var publishOnce sync.Once
 
-// publishMetrics makes the VM's figures available under /debug/vars.
+// publishMetrics publishes the VM's metrics under /debug/vars.
 func (v *VM) publishMetrics() { publishOnce.Do(v.publish) }
 
 func (v *VM) publish() {
@@ -26,7 +26,7 @@
 	publish("ControlBytesOut", func() any { _, out := v.controlTraffic(); return out })
 }
 
-// controlTraffic is what the control protocol has cost so far, in bytes.
+// controlTraffic returns the bytes received and sent so far by the control protocol.
 func (v *VM) controlTraffic() (in, out int64) {
 	sin, sout := v.peerSrv.Traffic()
 	cin, cout := v.peers.Traffic()
--- a/io/vm/metrics_test.go
+++ b/io/vm/metrics_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Two VMs of one process start at the same moment. Both found that no metrics were
-// published yet, and the second to publish them ended the process.
+// VMs of one process start at the same time. If each found that no metrics had been
+// published yet, the second to publish them would panic and end the process.
 func TestVMsThatStartTogetherPublishOnce(t *testing.T) {
 	var wg sync.WaitGroup
 	begin := make(chan struct{})
--- a/io/vm/operator.go
+++ b/io/vm/operator.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// platformAge is the time since the platform last answered, absent if never.
+// platformAge returns the time since the platform last answered, nil if it never has.
 func (v *VM) platformAge(now time.Time) *durationpb.Duration {
 	at := v.platform.AnsweredAt()
 	if at.IsZero() {
@@ -62,17 +62,18 @@
 	return durationpb.New(now.Sub(at))
 }
 
-// zoneStatus lists all registered zones, also those never heard of.
+// zoneStatus returns the status of all zones of the inventory. A zone of which this
+// VM has received no load has no figures.
 func (v *VM) zoneStatus(now time.Time) []*schema.ZoneStatus {
-	heard := make(map[string]member.ZoneView)
+	views := make(map[string]member.ZoneView)
 	for _, z := range v.zoneViews(now) {
-		heard[z.Zone] = z
+		views[z.Zone] = z
 	}
 	inv := v.config.Inventory()
 	var list []*schema.ZoneStatus
 	for _, z := range inv.Zones {
 		st := &schema.ZoneStatus{Zone: z.Name, Drained: inv.ZoneDrained(z.Name)}
-		if view, ok := heard[z.Name]; ok && view.Load != nil {
+		if view, ok := views[z.Name]; ok && view.Load != nil {
 			st.VmCount, st.MinVersion, st.Age = int32(view.Load.VMCount), view.Load.MinVersion, durationpb.New(view.LoadAge)
 			for _, s := range view.Load.Services {
 				st.Services = append(st.Services, &schema.ServiceStatus{
@@ -108,7 +109,8 @@
 	return d
 }
 
-// rowDump states one row, with when it will be where it is to go.
+// rowDump returns the weights of one row, in use and wanted, with an estimate of the
+// time until they are equal.
 func (v *VM) rowDump(now time.Time, key steer.RowKey) *schema.RowDump {
 	row, wanted := v.rows.Row(key), v.rows.Wanted(key)
 	weights := row.Weights()
@@ -122,7 +124,7 @@
 		return d
 	}
 	d.Left = steer.Distance(weights, wanted)
-	if took, ok := row.Estimate(now, wanted, v.rows.Limit(key), steerEvery, estimateHorizon); ok {
+	if took, ok := row.Estimate(now, wanted, v.rows.Limit(key), steerInterval, estimateHorizon); ok {
 		d.Estimate = wire.FromDuration(took)
 	}
 	return d
@@ -161,7 +163,7 @@
 	return e
 }
 
-// reasons puts into words why the answer is as it is.
+// reasons explains the answer in prose.
 func (v *VM) reasons(now time.Time, answer *steer.Answer, key steer.RowKey) []string {
 	var list []string
 	if answer.Place == "" {
@@ -172,7 +174,7 @@
 	list = append(list, "its VMs are the zone's live ones in the place's own order, then one of each of the nearest other zones")
 	d := v.rowDump(now, key)
 	switch {
-	case d.GetLeft() < reportedDistance:
+	case d.GetLeft() < minReportedDistance:
 		list = append(list, "the weights in use are the wanted ones")
 	case d.GetEstimate() == nil:
 		list = append(list, fmt.Sprintf("%.1f%% of the traffic is still to move, and will not within a day", percent*d.GetLeft()))
@@ -184,9 +186,10 @@
 }
 
 const (
-	// reportedDistance is the distance from the wanted weights worth a word.
-	reportedDistance = 0.001
-	percent          = 100
-	// estimateHorizon is how far ahead an estimate looks.
+	// minReportedDistance is the distance from the wanted weights, as a fraction of
+	// the traffic, below which Explain reports the weights as equal.
+	minReportedDistance = 0.001
+	percent             = 100
+	// estimateHorizon is the longest time that an estimate can give.
 	estimateHorizon = 24 * time.Hour
 )
--- a/io/vm/poison_test.go
+++ b/io/vm/poison_test.go
@@ -10,45 +10,47 @@
 )
 
 const (
-	// poisonPath is the path of the request that ends each upstream that runs it.
+	// poisonPath is the path of the poison request, which crashes each upstream that
+	// runs it.
 	poisonPath = "/istoric/poison"
-	// poisonRuns is how long it runs until the upstream ends, and backAfter how long
-	// it takes until it is there again.
-	poisonRuns = 30 * time.Millisecond
-	backAfter  = 400 * time.Millisecond
-	// knownWithin is the time after the third end in which all VMs must know, and
-	// sentAfterwards how often the request may be sent on all the same.
-	knownWithin    = 2 * time.Second
-	sentAfterwards = 3
+	// crashDelay is how long the request runs until the upstream crashes, and
+	// restartDelay how long the upstream then takes to restart.
+	crashDelay   = 30 * time.Millisecond
+	restartDelay = 400 * time.Millisecond
+	// banWithin is the time after the third crash within which all VMs must ban the
+	// request, and maxLateRuns how often it may reach upstreams after that.
+	banWithin   = 2 * time.Second
+	maxLateRuns = 3
 )
 
-// mortals are upstreams that a request ends. They start again at their addresses.
-type mortals struct {
+// crashingUpstreams are upstreams that the poison request crashes. They restart at the
+// same addresses.
+type crashingUpstreams struct {
 	t *testing.T
 
-	mu    sync.Mutex
-	began []time.Time
-	ended []time.Time
-	over  bool
+	mu      sync.Mutex
+	began   []time.Time // Of the poison request's runs.
+	crashed []time.Time
+	stopped bool // No upstream restarts any more.
 }
 
-// mortal is one of them.
-type mortal struct {
-	all     *mortals
+// crashingUpstream is the process of one of them, from its start to its crash.
+type crashingUpstream struct {
+	all     *crashingUpstreams
 	handler http.Handler
 	addr    string
 	srv     *http.Server
-	dying   sync.Once
+	crashes sync.Once
 }
 
-// start has an upstream listen, for one life.
-func (m *mortals) start(addr string, h http.Handler) string {
+// start starts the process of an upstream at addr and returns its address.
+func (m *crashingUpstreams) start(addr string, h http.Handler) string {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
-		m.t.Errorf("an upstream does not start again: %v", err)
+		m.t.Errorf("start upstream: %v", err)
 		return ""
 	}
-	u := &mortal{all: m, handler: h, addr: l.Addr().String()}
+	u := &crashingUpstream{all: m, handler: h, addr: l.Addr().String()}
 	u.srv = &http.Server{Handler: u}
 	go u.srv.Serve(l)
 	m.t.Cleanup(func() { u.srv.Close() })
@@ -56,7 +58,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (u *mortal) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (u *crashingUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/poison" {
 		u.handler.ServeHTTP(w, r)
 		return
@@ -64,35 +66,36 @@
 	u.all.mu.Lock()
 	u.all.began = append(u.all.began, time.Now())
 	u.all.mu.Unlock()
-	<-time.After(poisonRuns)
-	u.dying.Do(u.end)
+	<-time.After(crashDelay)
+	u.crashes.Do(u.crash)
 }
 
-func (u *mortal) end() {
+// crash stops the process and restarts the upstream after restartDelay.
+func (u *crashingUpstream) crash() {
 	m := u.all
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ended = append(m.ended, time.Now())
+	m.crashed = append(m.crashed, time.Now())
 	u.srv.Close()
-	time.AfterFunc(backAfter, func() {
+	time.AfterFunc(restartDelay, func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if !m.over {
+		if !m.stopped {
 			m.start(u.addr, u.handler)
 		}
 	})
 }
 
-// One caller's look-up ends each upstream that runs it. It is sent to the next, through
-// other VMs and zones, and comes again wherever its caller likes. It must be stopped at
-// all VMs soon after the third end, while other callers are served.
-func TestPoisonRequestIsStoppedOverZones(t *testing.T) {
+// A request crashes each upstream that runs it, is retried at others, and is repeated by its
+// caller through all VMs of two zones. Soon after the third crash all VMs must refuse it,
+// while other callers are served.
+func TestPoisonRequestIsBannedInAllZones(t *testing.T) {
 	f := newFleet(t, "a", "b")
-	m := &mortals{t: t}
+	m := &crashingUpstreams{t: t}
 	for _, target := range f.inv.Targets {
 		target.Addr = m.start("127.0.0.1:0", f.upstreams[target.Name])
 	}
-	f.up(vmAt{"a1", "a"}, vmAt{"a2", "a"}, vmAt{"b1", "b"})
+	f.startServing(vmSpec{"a1", "a"}, vmSpec{"a2", "a"}, vmSpec{"b1", "b"})
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	served := 0
@@ -120,21 +123,21 @@
 	wg.Wait()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.over = true
+	m.stopped = true
 	if served != callers {
-		t.Errorf("%d of %d callers of other requests were never served", callers-served, callers)
+		t.Errorf("%d of %d callers of other requests were not served", callers-served, callers)
 	}
-	if len(m.ended) < 3 {
-		t.Fatalf("%d upstreams ended under the request, so this test says nothing", len(m.ended))
+	if len(m.crashed) < 3 {
+		t.Fatalf("the request crashed %d upstreams, want at least 3 for this test to be meaningful", len(m.crashed))
 	}
 	late := 0
 	for _, at := range m.began {
-		if at.After(m.ended[2].Add(knownWithin)) {
+		if at.After(m.crashed[2].Add(banWithin)) {
 			late++
 		}
 	}
-	t.Logf("reached upstreams %d times, %d later than %v after the third end; %d ended", len(m.began), late, knownWithin, len(m.ended))
-	if late > sentAfterwards {
-		t.Errorf("sent to upstreams %d times later than %v after the third had ended, %d ended in all", late, knownWithin, len(m.ended))
+	t.Logf("reached upstreams %d times, %d of them later than %v after the third crash; %d crashes", len(m.began), late, banWithin, len(m.crashed))
+	if late > maxLateRuns {
+		t.Errorf("reached upstreams %d times later than %v after the third crash, with %d crashes in all", late, banWithin, len(m.crashed))
 	}
 }
--- a/io/vm/quarantine.go
+++ b/io/vm/quarantine.go
@@ -12,43 +12,43 @@
 	"auburnlatch/io/quarantine"
 )
 
-// lives tells the lives of upstreams apart, which the inventory names alike. VMs that saw
-// different ends number them differently, which only makes one end look like two at the
-// same moment; these count once.
-type lives struct {
+// generations numbers the successive processes of the upstream at an address, which the
+// inventory does not tell apart. VMs that saw different crashes number them differently;
+// one crash may then look like two, but crashes at the same time count once.
+type generations struct {
 	mu sync.Mutex
-	n  map[string]int
+	n  map[string]int // By address.
 }
 
-// of returns the upstream's present life.
-func (l *lives) of(t *inventory.Target) quarantine.Upstream {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return quarantine.Upstream{ID: fmt.Sprintf("%s#%d", t.Addr, l.n[t.Addr]), Addr: t.Addr}
+// current returns the upstream's present generation.
+func (g *generations) current(t *inventory.Target) quarantine.Upstream {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return quarantine.Upstream{ID: fmt.Sprintf("%s#%d", t.Addr, g.n[t.Addr]), Addr: t.Addr}
 }
 
-// ended begins another life where the present one has ended.
-func (l *lives) ended(u quarantine.Upstream) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.n == nil {
-		l.n = make(map[string]int)
+// next starts the next generation after a crash of u, if u is the present one.
+func (g *generations) next(u quarantine.Upstream) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.n == nil {
+		g.n = make(map[string]int)
 	}
-	if u.ID == fmt.Sprintf("%s#%d", u.Addr, l.n[u.Addr]) {
-		l.n[u.Addr]++
+	if u.ID == fmt.Sprintf("%s#%d", u.Addr, g.n[u.Addr]) {
+		g.n[u.Addr]++
 	}
 }
 
-// runGuard implements route.Guard.
-type runGuard struct {
+// routeGuard implements route.Guard.
+type routeGuard struct {
 	*quarantine.Guard
-	lives *lives
-	work  context.Context
+	generations *generations
+	work        context.Context // Ends with the VM's Run.
 }
 
 // Begin implements route.Guard.
-func (g *runGuard) Begin(began time.Time, req *poison.Request, t *inventory.Target) func(time.Time, *verdict.Error) {
-	sent := quarantine.Attempt{Upstream: g.lives.of(t), Began: began}
+func (g *routeGuard) Begin(began time.Time, req *poison.Request, t *inventory.Target) func(time.Time, *verdict.Error) {
+	sent := quarantine.Attempt{Upstream: g.generations.current(t), Began: began}
 	return func(now time.Time, e *verdict.Error) {
 		if e != nil {
 			g.Unanswered(g.work, now, req, sent, e)
@@ -91,8 +91,8 @@
 
 // HearsAllZones implements quarantine.Fleet.
 func (f fleetView) HearsAllZones(now time.Time, within time.Duration) bool {
-	// Zones hear of each other only so often.
-	within = max(within, 2*globalBeats*f.cfg.Timing.Heartbeat)
+	// Zones exchange state only every globalHeartbeats heartbeats.
+	within = max(within, 2*globalHeartbeats*f.cfg.Timing.Heartbeat)
 	views := f.table.Zones(now)
 	for _, z := range views {
 		if z.Zone != f.cfg.Zone && z.RosterAge > within {
--- a/io/vm/steer.go
+++ b/io/vm/steer.go
@@ -12,9 +12,9 @@
 	"auburnlatch/core/steer"
 )
 
-// steerLoop moves the weights and renews the look-ups.
+// steerLoop moves the weights and updates the look-ups.
 func (v *VM) steerLoop(ctx context.Context) {
-	t := time.NewTicker(steerEvery)
+	t := time.NewTicker(steerInterval)
 	defer t.Stop()
 	for {
 		v.restoreRows(ctx)
@@ -24,22 +24,22 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-		case <-v.wakeRefresh:
+		case <-v.refresh:
 		}
 	}
 }
 
-// refreshSoon lets the steerLoop run at once.
+// refreshSoon wakes steerLoop.
 func (v *VM) refreshSoon() {
 	select {
-	case v.wakeRefresh <- struct{}{}:
+	case v.refresh <- struct{}{}:
 	default:
 	}
 }
 
-// restoreRows takes over the weights of a VM that has them, once. A VM that
-// started from the wanted weights instead would shift its callers' traffic by
-// the whole difference at a stroke.
+// restoreRows copies the weights of another VM after the start, once. A VM that
+// started from the wanted weights would shift its callers' traffic by the whole
+// difference in one step. If no VM has weights, it stops trying after joinHold.
 func (v *VM) restoreRows(ctx context.Context) {
 	if v.restored.Load() {
 		return
@@ -60,6 +60,7 @@
 	}
 }
 
+// restoreFrom copies the weights of the VM at addr and reports whether it had any.
 func (v *VM) restoreFrom(ctx context.Context, addr string) bool {
 	n, err := v.peers.Weights(ctx, addr, &v.rows)
 	if err != nil || n == 0 {
@@ -70,7 +71,8 @@
 	return true
 }
 
-// steer solves each service and moves the rows.
+// steer computes the wanted weights of each service and moves the rows towards
+// them.
 func (v *VM) steer(now time.Time) {
 	if !v.restored.Load() || !v.Ready() {
 		return
@@ -89,22 +91,22 @@
 	problem.Exclude(func(zone string) bool { return v.reach.Unreachable(now, zone) })
 	wanted := steer.Solve(problem)
 	limit := steer.Limit{Cap: s.MaxShiftPerMinute, FailoverCap: s.MaxFailoverPerMinute, Lost: problem.Lost()}
-	var first steer.Assignment
+	var initial steer.Assignment
 	for _, z := range inv.Zones {
 		key := steer.RowKey{Service: s.Name, Origin: z.Name}
 		row := v.rows.Row(key)
 		if len(row.Weights()) == 0 {
-			if first == nil {
-				first = steer.Solve(steer.RegisteredProblem(inv, paths, s))
+			if initial == nil {
+				initial = steer.Solve(steer.RegisteredProblem(inv, paths, s))
 			}
-			row.Move(now, first[z.Name], limit)
+			row.Move(now, initial[z.Name], limit)
 		}
 		v.rows.Move(now, key, wanted[z.Name], limit)
 	}
 }
 
-// zoneViews returns the zones with the own one as it is now, not as it was
-// last published.
+// zoneViews returns the views of all zones. That of the own zone is computed now,
+// not the one last published.
 func (v *VM) zoneViews(now time.Time) []member.ZoneView {
 	roster, load := v.table.Summarize(now)
 	own := member.ZoneView{Zone: v.cfg.Zone, VMs: roster.VMs, Load: &load}
@@ -112,7 +114,8 @@
 	return append(views, own)
 }
 
-// refreshLookups renews the snapshots that look-ups and crossings read.
+// refreshLookups replaces the snapshots that look-ups and requests to other zones
+// read.
 func (v *VM) refreshLookups(now time.Time) {
 	views := v.zoneViews(now)
 	v.lookups.Store(steer.NewLookups(v.lookups.Load(), v.config.Inventory(), views, v.cfg.Zone))
--- a/io/vm/sweep.go
+++ b/io/vm/sweep.go
@@ -10,13 +10,14 @@
 	"auburnlatch/io/lifecycle"
 )
 
-// sweepEvery is the interval between sweeps of old claims.
-const sweepEvery = time.Hour
+// sweepInterval is the interval between sweeps of old claims.
+const sweepInterval = time.Hour
 
-// sweepLoop deletes claims that may be forgotten. One VM of all does; should
-// two think that they are the one, both delete the same rows.
+// sweepLoop deletes claims whose retention has ended. One VM of the whole system
+// does so; if two VMs both take themselves for that one, they delete the same rows,
+// which does no harm.
 func (v *VM) sweepLoop(ctx context.Context) {
-	lifecycle.Every(ctx, sweepEvery, func(now time.Time) {
+	lifecycle.Every(ctx, sweepInterval, func(now time.Time) {
 		if !v.sweeps(now) {
 			return
 		}
@@ -27,6 +28,7 @@
 	})
 }
 
+// sweeps reports whether this VM is the one that sweeps.
 func (v *VM) sweeps(now time.Time) bool {
 	var zones []string
 	for _, z := range v.config.Inventory().Zones {
--- a/io/vm/vm.go
+++ b/io/vm/vm.go
@@ -1,13 +1,14 @@
-// Package vm is one VM's process: it wires the decisions of the core packages
-// to the peers and protocols of the io packages, and runs the loops.
+// Package vm is the process of one VM: it connects the decisions of the core
+// packages with the clients and servers of the io packages, and runs the
+// background loops.
 //
 // # Usage
 //
 //	v, err := vm.New(cfg, log)       // Listens on all addresses.
 //	err = v.Run(ctx)                 // Serves until ctx ends, then leaves gracefully.
 //
-// When ctx ends the VM says that it leaves, goes on serving until no look-up
-// that names it is valid any more, finishes what is in flight, and returns.
+// When ctx ends the VM publishes that it is leaving, serves until the TTL of all
+// look-ups that name it has passed, finishes the requests in flight, and returns.
 package vm
 
 import (
@@ -50,8 +51,8 @@
 	log         *logrus.Entry
 	incarnation uint64
 	started     time.Time
-	beats       atomic.Uint64
-	beating     sync.Mutex // See beat.
+	heartbeats  atomic.Uint64 // Number of heartbeats so far.
+	heartbeatMu sync.Mutex    // Held by heartbeat.
 
 	table  *member.Table
 	pool   *dispatch.Pool
@@ -59,9 +60,9 @@
 	meter  steer.Meter
 	budget dispatch.Budget
 	reach  steer.Reachability
-	paths  steer.PathCache // Of the steerLoop alone.
+	paths  steer.PathCache // Used by steerLoop only.
 	config *config
-	health healthBook
+	health healthRecord
 
 	platform  *platform.Client
 	claims    *platform.Claims
@@ -72,20 +73,20 @@
 	guard     *quarantine.Guard
 	callers   *caller.Server
 
-	lookups     atomic.Pointer[steer.Lookups]
-	directory   atomic.Pointer[directory]
-	leaving     atomic.Bool
-	restored    atomic.Bool
-	forwarded   atomic.Int64
-	exchanging  sync.Map // Addresses with an exchange under way.
-	background  lifecycle.Group
-	work        context.Context // Ends with Run.
-	giveUp      context.CancelFunc
-	listeners   listeners
-	wakeRefresh chan struct{}
+	lookups    atomic.Pointer[steer.Lookups]
+	directory  atomic.Pointer[directory]
+	leaving    atomic.Bool
+	restored   atomic.Bool  // restoreRows is done.
+	forwarded  atomic.Int64 // Requests from other VMs in flight.
+	exchanging sync.Map     // Addresses with an exchange in progress.
+	background lifecycle.Group
+	work       context.Context // Ends with Run.
+	cancelWork context.CancelFunc
+	listeners  listeners
+	refresh    chan struct{} // Wakes steerLoop.
 }
 
-// listeners are the VM's four addresses.
+// listeners has the listeners of the VM's four addresses.
 type listeners struct {
 	caller, forward, peer, operator net.Listener
 }
@@ -93,15 +94,15 @@
 // Dial opens a connection, as net.Dialer.DialContext does.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Option varies a VM.
+// Option configures a VM.
 type Option func(*options)
 
 type options struct{ dial Dial }
 
-// WithDial has the VM open all its connections by dial.
+// WithDial sets the function that opens all connections of the VM.
 func WithDial(dial Dial) Option { return func(o *options) { o.dial = dial } }
 
-// New listens on all of the VM's addresses and returns the VM.
+// New returns a VM that listens on all of its addresses. Run serves them.
 func New(cfg *settings.Settings, log *logrus.Entry, opts ...Option) (*VM, error) {
 	o := &options{dial: (&net.Dialer{Timeout: dialTimeout}).DialContext}
 	for _, opt := range opts {
@@ -114,16 +115,16 @@
 		cfg: cfg, log: log, incarnation: uint64(now.UnixMilli()), started: now,
 		pool: dispatch.NewPool(cfg.Name), platform: client, claims: platform.NewClaims(client),
 		peers: peer.NewClient(peer.WithDial(peer.Dial(o.dial))), upstreams: upstream.NewClient(toUpstream),
-		config:      newConfig(platform.NewRegister(client), log),
-		wakeRefresh: make(chan struct{}, 1),
+		config:  newConfig(platform.NewRegister(client), log),
+		refresh: make(chan struct{}, 1),
 	}
-	v.work, v.giveUp = context.WithCancel(context.Background())
+	v.work, v.cancelWork = context.WithCancel(context.Background())
 	v.table = member.NewTable(cfg.Name, cfg.Zone, v.incarnation, now, member.WithFailAfter(cfg.Timing.FailAfter))
 	v.peerSrv = peer.NewServer(v.table, v.config, &v.rows)
-	lives := &lives{}
-	v.guard = quarantine.New(cfg.Name, fleetView{v}, platform.NewBans(client), v.upstreams, log, quarantine.WithEnds(lives.ended))
+	generations := &generations{}
+	v.guard = quarantine.New(cfg.Name, fleetView{v}, platform.NewBans(client), v.upstreams, log, quarantine.WithEnds(generations.next))
 	v.router = &route.Router{
-		Guard: &runGuard{Guard: v.guard, lives: lives, work: v.work},
+		Guard: &routeGuard{Guard: v.guard, generations: generations, work: v.work},
 		Self:  cfg.Name, Zone: cfg.Zone, Pool: v.pool, Rows: &v.rows, Meter: &v.meter, Budget: &v.budget, Reach: &v.reach,
 		Upstreams: v.upstreams, VMs: forward.NewClient(toUpstream), Directory: v,
 	}
@@ -169,7 +170,7 @@
 func (v *VM) Run(ctx context.Context) error {
 	live, stop := context.WithCancel(context.Background())
 	defer stop()
-	defer v.giveUp()
+	defer v.cancelWork()
 	operators, err := operator.NewServer(v, v.cfg.TLS)
 	if err != nil {
 		return err
@@ -211,7 +212,7 @@
 	}
 }
 
-// forwardHandler counts the requests that came from other VMs.
+// forwardHandler serves requests from other VMs and counts those in flight.
 func (v *VM) forwardHandler() http.Handler {
 	h := forward.Handler(v.router)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -227,6 +228,6 @@
 // Service implements caller.Register.
 func (v *VM) Service(name string) *inventory.Service { return v.config.Inventory().Service(name) }
 
-// Ready implements caller.Register. A VM that has learned the inventory from
-// neither the platform nor a peer is not ready.
+// Ready implements caller.Register. A VM is ready when it has received the inventory
+// from the platform or a peer.
 func (v *VM) Ready() bool { return v.config.Loaded() && v.config.Inventory().Version > 0 }
