--- a/io/entry/addresses.go
+++ b/io/entry/addresses.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// vmsEvery is the interval between reads of the registered VMs.
-	vmsEvery = 30 * time.Second
-	// lonelyAfter is how long a VM that has started listens before it takes itself for
-	// one that hears nobody. Where all start at once its seeds may be up half a second
-	// later, and each exchange across regions takes a quarter of one.
-	lonelyAfter = 2 * time.Second
-	// lonelyEvery is the interval for a VM that hears no other.
-	lonelyEvery = 1500 * time.Millisecond
-	// registrars is how many VMs register their addresses for those whose seeds are
-	// stale. One that starts needs to reach one of them.
+	// addrReadInterval is the interval between reads of the registered VMs.
+	addrReadInterval = 30 * time.Second
+	// isolatedAfter is how long a VM that has started waits before it considers itself
+	// isolated. Where all VMs start at once its seeds may be up half a second later, and
+	// an exchange across regions takes a quarter of a second.
+	isolatedAfter = 2 * time.Second
+	// isolatedInterval is the interval between reads for a VM that reaches no other.
+	isolatedInterval = 1500 * time.Millisecond
+	// registrars is how many VMs register their addresses, for VMs whose seeds are
+	// stale. A starting VM needs to reach one of them.
 	registrars = 3
 )
 
-// addresses are those at which other VMs registered. The zero value is ready.
+// addresses are the registered peer addresses of VMs. The zero value is ready to use.
 type addresses struct {
 	mu   sync.Mutex
 	list []string
@@ -42,31 +42,31 @@
 	return slices.Clone(a.list)
 }
 
-// addressLoop registers this VM's address where it is one of the registrars or hears
-// nobody, and reads those of the others: VMs that start with stale seeds find the
-// others so, and VMs that were cut off from each other do again.
+// addressLoop registers this VM's address if it is one of the registrars or is isolated,
+// and reads the registered addresses. This way VMs that start with stale seeds find the
+// others, and VMs that were partitioned from each other find each other again.
 func (v *VM) addressLoop(ctx context.Context) {
 	cfg := v.cfg.Load()
 	announced := false
-	if !lifecycle.Pause(ctx, lonelyAfter) {
+	if !lifecycle.Pause(ctx, isolatedAfter) {
 		return
 	}
 	for {
-		wait := vmsEvery
+		wait := addrReadInterval
 		now := time.Now()
-		lonely := len(v.members.Live(now)) < 2
-		if !lonely && !v.registers(now) {
-			if !lifecycle.Pause(ctx, lonelyEvery) {
+		isolated := len(v.members.Live(now)) < 2
+		if !isolated && !v.registers(now) {
+			if !lifecycle.Pause(ctx, isolatedInterval) {
 				return
 			}
 			continue
 		}
 		if !announced {
-			v.announced.Store(true) // A call that fails may have been carried out.
+			v.announced.Store(true) // A failed call may have taken effect.
 			announced = v.announce(ctx, cfg.Name, cfg.PeerAddr)
 		}
-		if !v.readAddresses(ctx) || !announced || lonely {
-			wait = lonelyEvery
+		if !v.readAddresses(ctx) || !announced || isolated {
+			wait = isolatedInterval
 		}
 		if !lifecycle.Pause(ctx, wait) {
 			return
@@ -74,8 +74,8 @@
 	}
 }
 
-// registers reports whether this VM is one of the registrars. One that has just started
-// does not know: of VMs that start together each would be.
+// registers reports whether this VM is one of the registrars. A VM that has just started
+// cannot know: if several start together, each would think it is.
 func (v *VM) registers(now time.Time) bool {
 	if now.Sub(v.started) < joinHold {
 		return false
@@ -103,6 +103,6 @@
 		v.log.WithField("Err", err).Warn("AddressesNotRead")
 		return false
 	}
-	v.known.set(list)
+	v.registeredAddrs.set(list)
 	return true
 }
--- a/io/entry/ahead.go
+++ b/io/entry/ahead.go
@@ -12,28 +12,29 @@
 	"auburnlatch/core/verdict"
 )
 
-// Bounds on what is begun before its turn.
+// Bounds on the pipelined requests that are processed before their turn.
 const (
-	// aheadPerConn is how many requests of one connection are under way beside the
-	// one that is to be answered next.
-	aheadPerConn = 8
-	// aheadPerVM is the same for all connections: with answerBuffer each they are
-	// 32 MB at most, of 184 MB on the smallest VM.
-	aheadPerVM = 128
+	// maxPipelinedPerConn is how many requests of one connection are in flight besides
+	// the one to be answered next.
+	maxPipelinedPerConn = 8
+	// maxPipelinedPerVM is the bound over all connections: at responseBuffer each, they
+	// take 32 MB at most, of 184 MB on the smallest VM.
+	maxPipelinedPerVM = 128
 )
 
-// The states of an ahead.
+// The states of a pipelined request.
 const (
-	aheadRunning = iota
-	aheadDone
-	aheadAbandoned
+	pipelinedRunning = iota
+	pipelinedDone
+	pipelinedAbandoned
 )
 
-// ahead is a request on which work began when it was read, behind others on its
-// connection. Where look-ups of 3.5 s are sent behind one
-// another the mean worth of five days rose from 0.652 to 0.656, with repeats up to 0.004
-// apart; what it buys above all is that a stop finds nothing read and not begun.
-type ahead struct {
+// pipelined is a pipelined request that is processed as soon as it is read, before the
+// earlier requests of its connection have been answered. With pipelined look-ups of
+// 3.5 s, the mean score over five days rose from 0.652 to 0.656, with repeated runs up
+// to 0.004 apart. The main benefit is that a stopping VM has no request that was read
+// but not begun.
+type pipelined struct {
 	vm     *VM
 	http   *http.Request
 	ctx    context.Context
@@ -44,30 +45,29 @@
 	result
 }
 
-// result is what became of a request: an answer, or an error.
+// result is the outcome of a request: a response or an error.
 type result struct {
-	request *request
-	answer  *answer
-	err     *verdict.Error
-	// readyAt is when it was known.
+	request  *request
+	response *response
+	err      *verdict.Error
+	// readyAt is when the outcome was known.
 	readyAt time.Time
-	// stop ends what still hangs on the answer.
+	// stop releases the context on which reading the rest of the response depends.
 	stop context.CancelFunc
 }
 
-// bytes is how much the bodies of the request and its answer hold, as far as they
-// were taken in before they were passed on.
+// bytes returns the size of the buffered bodies of the request and its response.
 func (r result) bytes() int {
 	n := len(r.request.body)
-	if r.answer != nil {
-		n += len(r.answer.body)
+	if r.response != nil {
+		n += len(r.response.body)
 	}
 	return n
 }
 
-// start implements starter. Only what may run more than once is begun before its
-// turn: whoever closes a connection early need not know whether it ran.
-func (v *VM) start(ctx context.Context, r *http.Request) *ahead {
+// start implements starter. It starts only requests that may run more than once, as a
+// caller that closes the connection early does not learn whether a request ran.
+func (v *VM) start(ctx context.Context, r *http.Request) *pipelined {
 	if v.leaving.Load() || r.Header.Get("Expect") != "" || r.Header.Get("Upgrade") != "" {
 		return nil
 	}
@@ -78,61 +78,62 @@
 	if rt := table.Find(r.Host, r.URL.EscapedPath()); rt == nil || rt.Kind != route.Idempotent {
 		return nil
 	}
-	if v.aheads.Add(1) > aheadPerVM {
-		v.aheads.Add(-1)
+	if v.pipelinedCount.Add(1) > maxPipelinedPerVM {
+		v.pipelinedCount.Add(-1)
 		return nil
 	}
-	a := &ahead{vm: v, http: r, done: make(chan struct{})}
-	a.ctx, a.cancel = context.WithCancel(ctx)
-	go a.run()
-	return a
+	p := &pipelined{vm: v, http: r, done: make(chan struct{})}
+	p.ctx, p.cancel = context.WithCancel(ctx)
+	go p.run()
+	return p
 }
 
-// run carries the request.
-func (a *ahead) run() {
-	v := a.vm
+// run processes the request.
+func (p *pipelined) run() {
+	v := p.vm
 	v.inFlight.Add(1)
 	defer v.inFlight.Add(-1)
-	a.result = v.serve(a.ctx, a.http)
-	if a.state.CompareAndSwap(aheadRunning, aheadDone) {
-		close(a.done)
+	p.result = v.serve(p.ctx, p.http)
+	if p.state.CompareAndSwap(pipelinedRunning, pipelinedDone) {
+		close(p.done)
 		return
 	}
-	a.release()
+	p.release()
 }
 
-// wait returns what became of the request.
-func (a *ahead) wait() result {
-	<-a.done
-	return a.result
+// wait waits for the outcome of the request.
+func (p *pipelined) wait() result {
+	<-p.done
+	return p.result
 }
 
-// release gives back what the request holds.
-func (a *ahead) release() {
-	a.answer.drop()
-	a.stop()
-	a.cancel()
-	a.vm.aheads.Add(-1)
+// release frees the resources of the request.
+func (p *pipelined) release() {
+	p.response.discard()
+	p.stop()
+	p.cancel()
+	p.vm.pipelinedCount.Add(-1)
 }
 
-// abandon ends work on a request that nobody will be answered.
-func (a *ahead) abandon() {
-	if a == nil {
+// abandon cancels a request whose caller will not be answered.
+func (p *pipelined) abandon() {
+	if p == nil {
 		return
 	}
-	a.cancel()
-	if a.state.Swap(aheadAbandoned) == aheadDone {
-		a.release()
+	p.cancel()
+	if p.state.Swap(pipelinedAbandoned) == pipelinedDone {
+		p.release()
 	}
 }
 
-// is reports whether the server has read the same request.
-func (a *ahead) is(r *http.Request) bool {
-	return a.http.Method == r.Method && a.http.RequestURI == r.RequestURI && a.http.Host == r.Host &&
-		a.http.Header.Get(a.vm.protocol.RequestID) == r.Header.Get(a.vm.protocol.RequestID)
+// matches reports whether r, as read by the server, is the same request.
+func (p *pipelined) matches(r *http.Request) bool {
+	return p.http.Method == r.Method && p.http.RequestURI == r.RequestURI && p.http.Host == r.Host &&
+		p.http.Header.Get(p.vm.protocol.RequestID) == r.Header.Get(p.vm.protocol.RequestID)
 }
 
-// parseHeader parses a request by the library that serves it; nil: it is none.
+// parseHeader parses a header with the parser of net/http, which also serves the request.
+// It returns nil if that fails.
 func parseHeader(header []byte) *http.Request {
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(header)))
 	if err != nil {
@@ -141,5 +142,5 @@
 	return r
 }
 
-// bodyless reports whether a request ends with its header.
+// bodyless reports whether a request has no body.
 func bodyless(r *http.Request) bool { return r.ContentLength == 0 && len(r.TransferEncoding) == 0 }
--- a/io/entry/among_test.go
+++ b/io/entry/among_test.go
@@ -11,9 +11,9 @@
 	"auburnlatch/io/settings"
 )
 
-// vmAmong returns a VM of the first of nine zones, in three regions, that hears
-// perZone VMs in each of them, and when it does.
-func vmAmong(perZone int, change func(*member.VM)) (*VM, time.Time) {
+// newVMAmong returns a VM of the first of nine zones, in three regions, that knows
+// perZone live VMs in each of them, and the time at which it does.
+func newVMAmong(perZone int, change func(*member.VM)) (*VM, time.Time) {
 	regions := make(map[string]string)
 	for i := range 9 {
 		regions[fmt.Sprint("z", i)] = fmt.Sprint("r", i%3)
--- a/io/entry/carry.go
+++ b/io/entry/carry.go
@@ -17,33 +17,33 @@
 )
 
 const (
-	// maxTries bounds the loop over upstreams, connections that could not be
-	// opened included; how many are sent the request is the route's to say.
+	// maxTries bounds the loop over upstreams, including those to which no connection
+	// could be opened. The route limits how many are sent the request.
 	maxTries = 4
-	// minLeft is the time a request must have left to be sent again.
-	minLeft = 40 * time.Millisecond
-	// dialWithin bounds the opening of a connection: two round trips between the
-	// regions that are furthest apart, and one packet sent again.
-	dialWithin = 450 * time.Millisecond
+	// minRetryTime is the time that must be left until the deadline for a retry.
+	minRetryTime = 40 * time.Millisecond
+	// dialTimeout bounds the opening of a connection: two round trips between the
+	// regions that are furthest apart, and the retransmission of one packet.
+	dialTimeout = 450 * time.Millisecond
 )
 
-// answer is an upstream's answer, its beginning taken in.
-type answer struct {
+// response is an upstream's response, of which the beginning is buffered.
+type response struct {
 	resp *http.Response
 	body []byte
-	rest io.ReadCloser // What the buffer did not take; nil: nothing.
-	// lease is the place at the target that gave it, at the tries-th try.
+	rest io.ReadCloser // What exceeds the buffer; nil if nothing does.
+	// lease is of the target that responded, at the tries-th try.
 	lease balance.Lease
 	tries int
 }
 
-// carry sends a request to an upstream and returns its answer. It is sent
-// again only where it has not run or may run twice, within the route's
-// attempts, the retry budget and the deadline.
-func (v *VM) carry(ctx context.Context, req *request) (*answer, *verdict.Error) {
+// proxy sends a request to an upstream and returns its response. It retries only
+// requests that have not run or may run twice, within the route's attempts, the
+// retry budget and the deadline.
+func (v *VM) proxy(ctx context.Context, req *request) (*response, *verdict.Error) {
 	v.retries.Request(time.Now(), req.service)
 	var tried []string
-	var last *answer
+	var last *response
 	var lastErr *verdict.Error
 	sent := 0
 	for range maxTries {
@@ -54,7 +54,7 @@
 			}
 			break
 		}
-		lease, err := v.place(req, tried, trial)
+		lease, err := v.acquire(req, tried, trial)
 		if err != nil {
 			trial.Done()
 			if last == nil && lastErr == nil {
@@ -63,17 +63,17 @@
 			break
 		}
 		tried = append(tried, lease.Target.ID)
-		a, e := v.try(ctx, req, lease)
+		r, e := v.try(ctx, req, lease)
 		trial.Done()
-		if a != nil {
-			a.lease, a.tries = lease, len(tried)
+		if r != nil {
+			r.lease, r.tries = lease, len(tried)
 		}
-		if e == nil && !(req.idempotent() && a.resp.StatusCode >= http.StatusInternalServerError) {
-			last.drop()
-			return a, nil
+		if e == nil && !(req.idempotent() && r.resp.StatusCode >= http.StatusInternalServerError) {
+			last.discard()
+			return r, nil
 		}
-		last.drop()
-		last, lastErr = a, e
+		last.discard()
+		last, lastErr = r, e
 		if reached(e) {
 			sent++
 		}
@@ -89,24 +89,24 @@
 	}
 	if lastErr.Reason == verdict.ReasonShed {
 		now := time.Now()
-		// Where all that could serve have asked for a pause, the caller would be refused before.
-		lastErr.RetryAfter = max(lastErr.RetryAfter, v.balancer.Wait(now, v.wanted(req, now)))
+		// If all possible upstreams asked for a pause, the caller would be refused before its end.
+		lastErr.RetryAfter = max(lastErr.RetryAfter, v.balancer.Wait(now, v.balanceRequest(req, now)))
 	}
 	return nil, lastErr
 }
 
-// drop gives up an answer that is not passed on.
-func (a *answer) drop() {
-	if a != nil && a.rest != nil {
-		a.rest.Close()
+// discard closes a response that is not passed on.
+func (r *response) discard() {
+	if r != nil && r.rest != nil {
+		r.rest.Close()
 	}
 }
 
-// mayRetry reports whether a request may be sent once more; e is nil after an
-// answer that tells of the upstream's own failure.
+// mayRetry reports whether a request may be sent once more. e is nil after a response
+// that reports the upstream's own failure.
 func (v *VM) mayRetry(ctx context.Context, req *request, e *verdict.Error, sent int) bool {
 	now := time.Now()
-	if ctx.Err() != nil || req.rest != nil || req.deadline.Sub(now) < minLeft {
+	if ctx.Err() != nil || req.rest != nil || req.deadline.Sub(now) < minRetryTime {
 		return false
 	}
 	if e != nil && e.Verdict != verdict.NotRun && !req.idempotent() {
@@ -118,21 +118,21 @@
 	return sent < max(1, req.route.Attempts) && v.retries.Retry(now, req.service)
 }
 
-// reached reports whether an upstream was sent the request. A request that reached nobody
-// may be sent without being a repeat.
+// reached reports whether the request was sent to an upstream. If it was not, sending
+// it is not a retry.
 func reached(e *verdict.Error) bool {
 	return e == nil || e.Reason != verdict.ReasonUnreachable && e.Reason != verdict.ReasonWithheld
 }
 
 func (v *VM) choose(req *request, tried, avoid []string) (balance.Lease, error) {
 	now := time.Now()
-	want := v.wanted(req, now)
+	want := v.balanceRequest(req, now)
 	want.Tried, want.Avoid = tried, avoid
 	return v.balancer.Choose(now, want)
 }
 
-// wanted returns what the choice of an upstream depends on.
-func (v *VM) wanted(req *request, now time.Time) balance.Request {
+// balanceRequest returns what the choice of an upstream depends on.
+func (v *VM) balanceRequest(req *request, now time.Time) balance.Request {
 	table := v.table.Load()
 	want := balance.Request{
 		Service: req.service, Route: req.route.Name, Key: req.key, Idempotent: req.idempotent(),
@@ -155,9 +155,9 @@
 }
 
 // try sends a request to one upstream.
-func (v *VM) try(ctx context.Context, req *request, lease balance.Lease) (*answer, *verdict.Error) {
-	call, began := v.call(req, lease), time.Now()
-	resp, err := v.upstreams.Send(ctx, call, dialWithin)
+func (v *VM) try(ctx context.Context, req *request, lease balance.Lease) (*response, *verdict.Error) {
+	call, began := v.upstreamCall(req, lease), time.Now()
+	resp, err := v.upstreams.Send(ctx, call, dialTimeout)
 	if err != nil {
 		e := verdict.As(err)
 		v.balancer.Done(time.Now(), lease, balance.Outcome{
@@ -165,29 +165,29 @@
 			Unanswered: e.Verdict == verdict.MaybeRan, NotSent: e.Reason == verdict.ReasonWithheld,
 		})
 		v.unanswered(req, lease, began, e)
-		v.requests.tried(v, req, lease, 0, e)
+		v.requests.attemptFailed(v, req, lease, 0, e)
 		return nil, e
 	}
 	var n balance.Notice
 	if resp.StatusCode != http.StatusMisdirectedRequest {
 		if n = v.notice(resp.StatusCode, resp.Header); v.balancer.Heard(time.Now(), lease, n) {
-			v.requests.heard(lease, n)
+			v.requests.notice(lease, n)
 		}
-		// What another says that has the address now is no word of this upstream's: it
-		// would clear the requests under which that one ended.
+		// A 421 comes from another incarnation that now has the address. It says nothing
+		// about this upstream and must not clear the requests under which it crashed.
 		v.guard.Answered(time.Now(), began, lease.Target.Incarnation())
 	}
-	a, err := take(resp)
-	outcome := balance.Outcome{Answered: true, Load: load(resp.Header.Get(v.protocol.Load)), Connect: call.Connect}
+	r, err := readResponse(resp)
+	outcome := balance.Outcome{Answered: true, Load: parseLoad(resp.Header.Get(v.protocol.Load)), Connect: call.Connect}
 	if err != nil {
 		outcome.Failed = ctx.Err() == nil
 		v.balancer.Done(time.Now(), lease, outcome)
-		e := broken(ctx, err)
+		e := truncatedError(ctx, err)
 		v.unanswered(req, lease, began, e)
-		v.requests.tried(v, req, lease, resp.StatusCode, e)
+		v.requests.attemptFailed(v, req, lease, resp.StatusCode, e)
 		return nil, e
 	}
-	outcome.Bytes = len(req.body) + len(a.body)
+	outcome.Bytes = len(req.body) + len(r.body)
 	e := v.refusal(resp)
 	switch {
 	case e != nil && e.Reason == verdict.ReasonMisdirected:
@@ -200,42 +200,42 @@
 	v.balancer.Done(time.Now(), lease, outcome)
 	if e != nil {
 		v.unanswered(req, lease, began, e)
-		v.requests.tried(v, req, lease, resp.StatusCode, e)
-		a.drop()
+		v.requests.attemptFailed(v, req, lease, resp.StatusCode, e)
+		r.discard()
 		return nil, e
 	}
-	if a.rest == nil {
-		v.guard.Served(v.work, time.Now(), req.identity, quarantine.Attempt{Upstream: incarnation(lease.Target), Began: began})
+	if r.rest == nil {
+		v.guard.Served(v.workCtx, time.Now(), req.identity, quarantine.Attempt{Upstream: upstreamOf(lease.Target), Began: began})
 	} else {
-		a.rest = &longAnswer{ReadCloser: a.rest, vm: v, req: req, lease: lease, began: began}
+		r.rest = &streamedResponse{ReadCloser: r.rest, vm: v, req: req, lease: lease, began: began}
 	}
-	return a, nil
+	return r, nil
 }
 
-// refusal returns the error of an answer that says that the request did not
-// run, else nil.
+// refusal returns the error of a response that says that the request did not
+// run, or nil.
 func (v *VM) refusal(resp *http.Response) *verdict.Error {
 	switch {
 	case resp.StatusCode == http.StatusMisdirectedRequest:
-		return verdict.New(verdict.NotRun, verdict.ReasonMisdirected, comeBack)
+		return verdict.New(verdict.NotRun, verdict.ReasonMisdirected, shedRetryAfter)
 	case resp.Header.Get(v.protocol.NotRun) != "":
-		return verdict.New(verdict.NotRun, verdict.ReasonShed, comeBack)
+		return verdict.New(verdict.NotRun, verdict.ReasonShed, shedRetryAfter)
 	default:
 		return nil
 	}
 }
 
-// comeBack is when a caller should come back after the upstreams it was offered
-// to refused it.
-const comeBack = 30 * time.Millisecond
+// shedRetryAfter is when a caller should retry after all upstreams that were tried
+// refused its request.
+const shedRetryAfter = 30 * time.Millisecond
 
-// broken judges an answer that ended before it was whole.
-func broken(ctx context.Context, err error) *verdict.Error {
+// truncatedError returns the error of a response that ended before it was complete.
+func truncatedError(ctx context.Context, err error) *verdict.Error {
 	return verdict.Wrap(err, verdict.Ran, verdict.ContextReason(ctx.Err(), verdict.ReasonBroken), 0)
 }
 
-// call is the request as it goes to a target.
-func (v *VM) call(req *request, lease balance.Lease) *upstream.Call {
+// upstreamCall returns the request as it is sent to a target.
+func (v *VM) upstreamCall(req *request, lease balance.Lease) *upstream.Call {
 	h := req.http.Header.Clone()
 	forward.StripHopByHop(h)
 	forward.StripOwn(h)
@@ -253,32 +253,32 @@
 	}
 }
 
-// take reads an answer up to the buffer.
-func take(resp *http.Response) (*answer, error) {
+// readResponse reads a response up to the size of the buffer.
+func readResponse(resp *http.Response) (*response, error) {
 	var buf bytes.Buffer
 	if resp.ContentLength > 0 {
-		buf.Grow(int(min(resp.ContentLength, answerBuffer)) + bytes.MinRead)
+		buf.Grow(int(min(resp.ContentLength, responseBuffer)) + bytes.MinRead)
 	}
-	n, err := buf.ReadFrom(io.LimitReader(resp.Body, answerBuffer))
-	a := &answer{resp: resp, body: buf.Bytes()}
+	n, err := buf.ReadFrom(io.LimitReader(resp.Body, responseBuffer))
+	r := &response{resp: resp, body: buf.Bytes()}
 	if err != nil {
 		resp.Body.Close()
 		return nil, err
 	}
-	if n < answerBuffer {
+	if n < responseBuffer {
 		resp.Body.Close()
-		return a, nil
+		return r, nil
 	}
-	a.rest = resp.Body
-	return a, nil
+	r.rest = resp.Body
+	return r, nil
 }
 
-// relay passes an answer on as the upstream gave it. One that breaks off midway
-// cuts the connection, so that it cannot be taken for whole.
-func (a *answer) relay(w http.ResponseWriter) {
+// relay passes a response on as the upstream sent it. If the response is truncated, it
+// cuts the connection, so that the caller cannot take it for complete.
+func (r *response) relay(w http.ResponseWriter) {
 	h := w.Header()
 	leaving := h.Get("Connection")
-	for name, values := range a.resp.Header {
+	for name, values := range r.resp.Header {
 		h[name] = values
 	}
 	forward.StripHopByHop(h)
@@ -286,24 +286,24 @@
 		h.Set("Connection", leaving)
 	}
 	if h.Get("Content-Type") == "" {
-		h["Content-Type"] = nil // Keeps the library from guessing one.
+		h["Content-Type"] = nil // Keeps net/http from guessing one.
 	}
-	if a.rest == nil && a.resp.Request.Method != http.MethodHead && bodyAllowed(a.resp.StatusCode) {
-		h.Set("Content-Length", strconv.Itoa(len(a.body)))
+	if r.rest == nil && r.resp.Request.Method != http.MethodHead && bodyAllowed(r.resp.StatusCode) {
+		h.Set("Content-Length", strconv.Itoa(len(r.body)))
 	}
-	w.WriteHeader(a.resp.StatusCode)
-	if _, err := w.Write(a.body); err != nil {
-		a.drop()
-		if bodyAllowed(a.resp.StatusCode) && a.resp.Request.Method != http.MethodHead {
+	w.WriteHeader(r.resp.StatusCode)
+	if _, err := w.Write(r.body); err != nil {
+		r.discard()
+		if bodyAllowed(r.resp.StatusCode) && r.resp.Request.Method != http.MethodHead {
 			panic(http.ErrAbortHandler)
 		}
 		return
 	}
-	if a.rest == nil {
+	if r.rest == nil {
 		return
 	}
-	defer a.rest.Close()
-	if _, err := io.Copy(w, a.rest); err != nil {
+	defer r.rest.Close()
+	if _, err := io.Copy(w, r.rest); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -312,8 +312,8 @@
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// load parses what an upstream says of its load: running, waiting, slots.
-func load(text string) *balance.Load {
+// parseLoad parses the load that an upstream reports: running, waiting, slots.
+func parseLoad(text string) *balance.Load {
 	parts := strings.Split(text, ",")
 	if len(parts) != 3 {
 		return nil
--- a/io/entry/conn.go
+++ b/io/entry/conn.go
@@ -11,30 +11,30 @@
 	"time"
 )
 
-// Bounds of a caller's connection on which requests stand behind one another.
+// Bounds on a caller's connection with pipelined requests.
 const (
-	// maxUnread is how many bytes are read ahead of the server: some tens of
-	// look-ups of 300 bytes. What is beyond stays with the caller.
+	// maxUnread is how many bytes are read ahead of the server: some tens of look-ups
+	// of 300 bytes. Further bytes are not read from the socket.
 	maxUnread = 16 << 10
-	// readChunk is how many of them are read at once.
+	// readChunk is the size of a read in bytes.
 	readChunk = 4 << 10
-	// lingerFor is how long a connection that ends goes on taking in what its
-	// caller has already sent. Closed at once with bytes unread, it would be reset
-	// and the caller lose the last answer.
+	// lingerFor is how long a closing connection still reads what its caller has sent.
+	// If it were closed with unread bytes, it would be reset and the caller might lose
+	// the last response.
 	lingerFor = 500 * time.Millisecond
 )
 
-// headerEnd ends a request's header.
+// headerEnd terminates a request's header.
 var headerEnd = []byte("\r\n\r\n")
 
-// starter begins work on requests that stand behind another.
+// starter starts to process pipelined requests before their turn.
 type starter interface {
-	// start begins work on a request, or returns nil where it has to wait for its
-	// turn.
-	start(ctx context.Context, r *http.Request) *ahead
+	// start starts to process a request, or returns nil if the request has to wait
+	// for its turn.
+	start(ctx context.Context, r *http.Request) *pipelined
 }
 
-// callerListener wraps callers' connections.
+// callerListener wraps the accepted connections of callers.
 type callerListener struct {
 	net.Listener
 	starter starter
@@ -49,22 +49,22 @@
 	return newCallerConn(raw, l.starter), nil
 }
 
-// callerConn is one caller's connection, between the socket and the library's
-// server. It guards against two failures.
+// callerConn is a caller's connection, between the socket and the http.Server.
+// It guards against two failures.
 //
-// Closing an idle connection while a request arrives loses the request: the
-// process has read it, the caller gets no answer and cannot tell whether it
-// ran. So an idle connection is never closed from outside. Its blocked read is
-// made to time out, on which the server closes it; a read that has just
-// returned a request takes the timeout back and is served as usual.
+// If an idle connection is closed while a request arrives on it, the request is
+// lost: the process has read it, and the caller gets no response and cannot tell
+// whether it ran. So an idle connection is never closed from outside. Instead its
+// blocked read is made to time out, and the server then closes the connection. A
+// read that has just returned a request cancels the timeout and is served as usual.
 //
-// The library's server reads a request when the one before has been answered.
-// Callers that send several behind one another would have each wait for all
-// before it: late by the time they took, and passed on in the midst of a stop that
-// began after they had been read. So the connection is read by a loop of its own
-// once a caller does that, and work on each request begins as it is read. The
-// server still reads the same bytes, in order, and finds the work under way when
-// it comes to them; all framing of requests and answers is the library's.
+// The http.Server reads a request only when the one before has been answered. Each
+// pipelined request would wait for all requests before it: it would be late by their
+// duration, and could be forwarded while the VM stops although it was read before the
+// stop. So once a caller pipelines requests, a goroutine reads the connection and
+// each request is processed as it is read. The server still reads the same bytes in
+// the same order, and finds the request in flight when it reaches it. The framing of
+// requests and responses is left to net/http.
 type callerConn struct {
 	net.Conn
 	starter starter
@@ -72,30 +72,30 @@
 	cancel  context.CancelFunc
 
 	mu       sync.Mutex
-	cond     sync.Cond // Signals each change of what follows.
+	cond     sync.Cond // Signals each change of the fields below.
 	expiring bool
 	deadline time.Time // Set by the server.
 
-	// buf has bytes that were read from the socket. The first given of it have
-	// gone to the server, and the first parsed have been looked at for requests.
-	buf           []byte
-	given, parsed int
-	// tail is the last bytes given to the server, while they may begin headerEnd;
-	// after counts those since the last headerEnd and first is the first of them.
+	// buf has the bytes that were read from the socket. The first consumed of them have
+	// been passed to the server, and the first parsed have been searched for requests.
+	buf              []byte
+	consumed, parsed int
+	// tail is the last bytes passed to the server, as they may begin headerEnd.
+	// after counts the bytes since the last headerEnd, and first is the first of them.
 	tail  []byte
 	after int
 	first byte
 
-	looping bool // loop reads the socket.
-	inStep  bool // parsed is where a request begins.
-	serving bool // The server's handler is at work.
-	over    bool // Nothing more is begun before its turn.
-	closed  bool
-	err     error // Of loop's last read.
-	turn    int   // Counts deadlines, so that an old one's timeout is known.
-	// line is the requests that were read and have not been served, in order; nil
-	// for one that waits for its turn.
-	line []*ahead
+	reading     bool // readLoop reads the socket.
+	inSync      bool // parsed is the offset of the beginning of a request.
+	serving     bool // The server's handler runs.
+	sealed      bool // No further request is started before its turn.
+	closed      bool
+	err         error // Of readLoop's last read.
+	deadlineSeq int   // Counts changes of the deadline, to ignore the timeout of an old one.
+	// pipeline is the requests that were read and not yet served, in order; nil for a
+	// request that waits for its turn.
+	pipeline []*pipelined
 }
 
 func newCallerConn(raw net.Conn, s starter) *callerConn {
@@ -104,11 +104,11 @@
 	return c
 }
 
-// connKey is the key of a request's *callerConn in its context.
+// connKey is the context key of a request's *callerConn.
 type connKey struct{}
 
-// connContext implements the ConnContext hook of http.Server. The context ends
-// with the connection.
+// connContext implements the ConnContext hook of http.Server. The context is canceled
+// when the connection is closed.
 func connContext(ctx context.Context, raw net.Conn) context.Context {
 	c, ok := raw.(*callerConn)
 	if !ok {
@@ -118,25 +118,25 @@
 	return context.WithValue(c.ctx, connKey{}, c)
 }
 
-// callerOf returns the connection of a request that the server has read, or nil.
-func callerOf(r *http.Request) *callerConn {
+// connOf returns the connection of a request that the server has read, or nil.
+func connOf(r *http.Request) *callerConn {
 	c, _ := r.Context().Value(connKey{}).(*callerConn)
 	return c
 }
 
 // Read implements net.Conn. It returns at most one request's header at a time, so
-// that what is behind it is not hidden in the server's buffer.
+// that no pipelined request is hidden in the server's buffer.
 func (c *callerConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.looping && c.given == len(c.buf) && c.err == nil {
+	for c.reading && c.consumed == len(c.buf) && c.err == nil {
 		c.cond.Wait()
 	}
-	if c.given < len(c.buf) {
-		c.arrived()
-		return c.give(p), nil
+	if c.consumed < len(c.buf) {
+		c.cancelExpiry()
+		return c.consume(p), nil
 	}
-	if c.looping {
+	if c.reading {
 		return 0, c.err
 	}
 	c.mu.Unlock()
@@ -145,19 +145,19 @@
 	if n == 0 {
 		return 0, err
 	}
-	c.arrived()
-	if end := c.headerIn(p[:n]); end < n {
+	c.cancelExpiry()
+	if end := c.headerLen(p[:n]); end < n {
 		c.buf = append(c.buf[:0], p[end:n]...)
-		c.given = 0
+		c.consumed = 0
 		n = end
 	}
-	c.gave(p[:n])
+	c.recordConsumed(p[:n])
 	c.watch()
 	return n, nil
 }
 
-// arrived takes back the timeout of an idle connection on which a request arrives.
-func (c *callerConn) arrived() {
+// cancelExpiry cancels the timeout of an idle connection on which a request arrives.
+func (c *callerConn) cancelExpiry() {
 	if !c.expiring {
 		return
 	}
@@ -165,22 +165,22 @@
 	c.setDeadline(c.deadline)
 }
 
-// give hands buffered bytes to the server.
-func (c *callerConn) give(p []byte) int {
-	n := copy(p, c.buf[c.given:])
-	n = c.headerIn(p[:n])
-	c.given += n
-	c.gave(p[:n])
-	if c.given == len(c.buf) && !c.looping {
-		c.buf, c.given = c.buf[:0], 0
+// consume copies buffered bytes to the server's read buffer.
+func (c *callerConn) consume(p []byte) int {
+	n := copy(p, c.buf[c.consumed:])
+	n = c.headerLen(p[:n])
+	c.consumed += n
+	c.recordConsumed(p[:n])
+	if c.consumed == len(c.buf) && !c.reading {
+		c.buf, c.consumed = c.buf[:0], 0
 	}
 	c.cond.Broadcast()
 	return n
 }
 
-// headerIn returns the length of p up to the end of the first header that ends in
-// it, all of p where none does.
-func (c *callerConn) headerIn(p []byte) int {
+// headerLen returns the length of p up to the end of the first header that ends in
+// it, or len(p) if none does.
+func (c *callerConn) headerLen(p []byte) int {
 	if len(c.tail) > 0 {
 		both := append(append(make([]byte, 0, 2*len(headerEnd)), c.tail...), p[:min(len(p), len(headerEnd))]...)
 		if i := bytes.Index(both, headerEnd); i >= 0 {
@@ -193,8 +193,8 @@
 	return len(p)
 }
 
-// gave notes what the server has been given.
-func (c *callerConn) gave(p []byte) {
+// recordConsumed records that p was passed to the server.
+func (c *callerConn) recordConsumed(p []byte) {
 	c.tail = append(c.tail, p[max(0, len(p)-len(headerEnd)):]...)
 	c.tail = c.tail[max(0, len(c.tail)-len(headerEnd)):]
 	if bytes.Equal(c.tail, headerEnd) {
@@ -207,38 +207,38 @@
 	c.after += len(p)
 }
 
-// begin is called by the handler of a request that the server has read. It returns
-// the work that has been begun on it, or nil.
-func (c *callerConn) begin(r *http.Request) *ahead {
+// beginServing is called by the handler of a request that the server has read. It
+// returns the request's pipelined processing, or nil if there is none.
+func (c *callerConn) beginServing(r *http.Request) *pipelined {
 	if c == nil {
 		return nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.serving = true
-	if len(c.line) > 0 {
-		a := c.line[0]
-		c.line = c.line[1:]
-		if a != nil && !a.is(r) {
+	if len(c.pipeline) > 0 {
+		p := c.pipeline[0]
+		c.pipeline = c.pipeline[1:]
+		if p != nil && !p.matches(r) {
 			// The server and this connection disagree about where requests begin.
-			c.over = true
-			a.abandon()
+			c.sealed = true
+			p.abandon()
 			return nil
 		}
-		return a
+		return p
 	}
-	c.inStep = !r.Close && bodyless(r) && c.after <= 1
-	c.over = c.over || r.Close
-	if c.inStep && c.looping {
-		c.parsed = c.given - c.after
+	c.inSync = !r.Close && bodyless(r) && c.after <= 1
+	c.sealed = c.sealed || r.Close
+	if c.inSync && c.reading {
+		c.parsed = c.consumed - c.after
 		c.parse()
 	}
 	c.watch()
 	return nil
 }
 
-// end is called when the handler has written its answer.
-func (c *callerConn) end() {
+// endServing is called when the handler has written its response.
+func (c *callerConn) endServing() {
 	if c == nil {
 		return
 	}
@@ -247,68 +247,68 @@
 	c.serving = false
 }
 
-// mayClose reports whether the answer to be written may be the connection's last:
-// no work has been begun on a request behind it. None is begun from then on.
+// mayClose reports whether the response to be written may be the connection's last,
+// as no later request is in flight. If so, none is started from then on.
 func (c *callerConn) mayClose() bool {
 	if c == nil {
 		return true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, a := range c.line {
-		if a != nil {
+	for _, p := range c.pipeline {
+		if p != nil {
 			return false
 		}
 	}
-	c.over = true
+	c.sealed = true
 	return true
 }
 
-// watch starts loop once bytes arrive behind a request that is being served.
+// watch starts readLoop once bytes arrive behind a request that is being served.
 func (c *callerConn) watch() {
-	behind := c.after > 0 || len(c.buf) > c.given
-	if !c.serving || !c.inStep || c.looping || !behind || c.closed {
+	behind := c.after > 0 || len(c.buf) > c.consumed
+	if !c.serving || !c.inSync || c.reading || !behind || c.closed {
 		return
 	}
 	if c.after == 1 {
-		// The server has the first byte already; look at it all the same.
-		c.buf = append([]byte{c.first}, c.buf[c.given:]...)
-		c.given = 1
+		// The server has already read the first byte, but it has to be parsed too.
+		c.buf = append([]byte{c.first}, c.buf[c.consumed:]...)
+		c.consumed = 1
 	} else {
-		c.buf, c.given = bytes.Clone(c.buf[c.given:]), 0
+		c.buf, c.consumed = bytes.Clone(c.buf[c.consumed:]), 0
 	}
-	c.parsed, c.looping = 0, true
+	c.parsed, c.reading = 0, true
 	c.parse()
-	go c.loop()
+	go c.readLoop()
 }
 
-// loop reads the connection until it ends.
-func (c *callerConn) loop() {
+// readLoop reads the connection until it ends.
+func (c *callerConn) readLoop() {
 	chunk := make([]byte, readChunk)
 	for {
-		turn, ok := c.await()
+		seq, ok := c.awaitRoom()
 		if !ok {
 			return
 		}
 		n, err := c.Conn.Read(chunk)
-		if !c.take(chunk[:n], err, turn) {
+		if !c.received(chunk[:n], err, seq) {
 			return
 		}
 	}
 }
 
-// await waits until there is room and no timeout to be told.
-func (c *callerConn) await() (turn int, ok bool) {
+// awaitRoom waits until the buffer has room and the last read's timeout was reset.
+func (c *callerConn) awaitRoom() (seq int, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for !c.closed && (len(c.buf)-c.given >= maxUnread || c.err != nil) {
+	for !c.closed && (len(c.buf)-c.consumed >= maxUnread || c.err != nil) {
 		c.cond.Wait()
 	}
-	return c.turn, !c.closed
+	return c.deadlineSeq, !c.closed
 }
 
-// take takes in what was read, and reports whether to go on.
-func (c *callerConn) take(p []byte, err error, turn int) bool {
+// received stores what was read, and reports whether to go on reading.
+func (c *callerConn) received(p []byte, err error, seq int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	defer c.cond.Broadcast()
@@ -322,52 +322,52 @@
 	switch {
 	case err == nil:
 	case !errors.Is(err, os.ErrDeadlineExceeded):
-		// The caller has left: all that it caused ends.
+		// The caller has closed the connection: cancel all its requests.
 		c.err = err
 		c.cancel()
 		return false
-	case turn == c.turn:
+	case seq == c.deadlineSeq:
 		c.err = err
 	}
 	return true
 }
 
-// parse begins work on the requests that are whole.
+// parse starts to process the complete requests in the buffer.
 func (c *callerConn) parse() {
-	for c.inStep && !c.over {
+	for c.inSync && !c.sealed {
 		i := bytes.Index(c.buf[c.parsed:], headerEnd)
 		if i < 0 {
 			break
 		}
 		r := parseHeader(c.buf[c.parsed : c.parsed+i+len(headerEnd)])
 		if r == nil || !bodyless(r) {
-			c.inStep = false // Until the server has read it.
+			c.inSync = false // Until the server has read it.
 			break
 		}
 		c.parsed += i + len(headerEnd)
-		c.line = append(c.line, c.start(r))
-		c.over = r.Close
+		c.pipeline = append(c.pipeline, c.start(r))
+		c.sealed = r.Close
 	}
-	// Bytes that nobody needs any more make room.
-	done := c.given - 1
-	if c.inStep && !c.over {
+	// Discard bytes that are no longer needed.
+	done := c.consumed - 1
+	if c.inSync && !c.sealed {
 		done = min(done, c.parsed)
 	}
 	if done > 0 {
 		c.buf = append(c.buf[:0], c.buf[done:]...)
-		c.given, c.parsed = c.given-done, max(0, c.parsed-done)
+		c.consumed, c.parsed = c.consumed-done, max(0, c.parsed-done)
 	}
 }
 
-// start begins work on a request while few of the connection are under way.
-func (c *callerConn) start(r *http.Request) *ahead {
+// start starts to process a request, unless too many of the connection are in flight.
+func (c *callerConn) start(r *http.Request) *pipelined {
 	n := 0
-	for _, a := range c.line {
-		if a != nil {
+	for _, p := range c.pipeline {
+		if p != nil {
 			n++
 		}
 	}
-	if n >= aheadPerConn {
+	if n >= maxPipelinedPerConn {
 		return nil
 	}
 	return c.starter.start(c.ctx, r)
@@ -385,7 +385,7 @@
 }
 
 func (c *callerConn) setDeadline(t time.Time) error {
-	c.turn++
+	c.deadlineSeq++
 	if errors.Is(c.err, os.ErrDeadlineExceeded) {
 		c.err = nil
 	}
@@ -393,7 +393,7 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// expire ends a blocked read.
+// expire makes a blocked read time out.
 func (c *callerConn) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -412,20 +412,20 @@
 	if c.cancel != nil {
 		c.cancel()
 	}
-	for _, a := range c.line {
-		a.abandon()
+	for _, p := range c.pipeline {
+		p.abandon()
 	}
-	c.line = nil
+	c.pipeline = nil
 	c.cond.Broadcast()
 	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if !c.looping || !ok || c.err != nil || half.CloseWrite() != nil {
+	if !c.reading || !ok || c.err != nil || half.CloseWrite() != nil {
 		return c.Conn.Close()
 	}
 	l := &linger{conn: c.Conn}
 	return l.start()
 }
 
-// linger takes in what a caller has sent behind its last answer.
+// linger reads and discards what a caller has sent after its last response.
 type linger struct{ conn net.Conn }
 
 func (l *linger) start() error {
@@ -436,7 +436,7 @@
 	return nil
 }
 
-// run reads until the caller has closed too.
+// run reads until the caller has closed the connection too.
 func (l *linger) run() {
 	defer l.conn.Close()
 	chunk := make([]byte, readChunk)
--- a/io/entry/copies.go
+++ b/io/entry/copies.go
@@ -16,82 +16,83 @@
 )
 
 const (
-	// watchers read the tables from the platform; the others ask a watcher, or a
-	// relay, whenever their copies are askAge old, and read for themselves only when
-	// these are staleShare of the bound on leaving upstreams old. So whoever the
-	// platform turns away, freezes or dies is replaced without a word, and the
-	// platform is asked as often whether there are 10 VMs or 300.
-	watchers   = 2
-	watchAge   = 500 * time.Millisecond
-	askAge     = 600 * time.Millisecond
-	staleShare = 0.45
-	// pollTick is how often the age of a copy is looked at.
+	// readerCount is how many VMs, the readers, read the tables from the platform. They
+	// read the upstreams again whenever their copy is readerPullAge old. The others pull
+	// from a reader, or from a relay, whenever their copies are pullAge old. They read the
+	// platform themselves only when their copies are as old as staleFraction of the bound
+	// on leaving upstreams. So a reader that the platform refuses, or that hangs or crashes,
+	// is replaced without a message, and the platform gets as many calls from 300 VMs as
+	// from 10.
+	readerCount   = 2
+	readerPullAge = 500 * time.Millisecond
+	pullAge       = 600 * time.Millisecond
+	staleFraction = 0.45
+	// pollTick is how often the age of a copy is checked.
 	pollTick = 150 * time.Millisecond
-	// watchWait is how long the platform may hold back the answer about rules
-	// that do not change. A watch whose connection went silent is noticed
-	// watchSlack after.
-	watchWait  = time.Second
-	watchSlack = 500 * time.Millisecond
-	// watchShare is how long that may be, of RevokeWithin, where keys can be taken away,
-	// and sureShare how old the certainty about the rules may become before a VM that is no
-	// watcher asks the platform, askTurn later for each VM that comes before it.
-	watchShare = 0.1
-	sureShare  = 0.4
-	askTurn    = 80 * time.Millisecond
-	askTurns   = 12
-	// callTimeout bounds a call to the platform that is not held back.
+	// longPollWait is how long the platform may hold back its response while the rules do
+	// not change. If the connection hangs, the call fails longPollSlack later.
+	longPollWait  = time.Second
+	longPollSlack = 500 * time.Millisecond
+	// longPollFraction bounds that time as a fraction of RevokeWithin, where keys can be
+	// revoked. verifyFraction is the age of the rules, also as a fraction of RevokeWithin,
+	// at which a VM that is no reader asks the platform. It does so takeoverDelay later
+	// for each VM that ranks before it, up to maxTakeoverRank.
+	longPollFraction = 0.1
+	verifyFraction   = 0.4
+	takeoverDelay    = 80 * time.Millisecond
+	maxTakeoverRank  = 12
+	// callTimeout bounds a call to the platform that is no long poll.
 	callTimeout = time.Second
-	// afterFailure is the pause after a failed call: calls are paid for, also
-	// those that are turned away.
-	afterFailure = 700 * time.Millisecond
-	// afterFailures bounds that pause for a VM that others read for: it doubles with
-	// each failure in a row. When the platform is there again, a watcher notices
-	// within afterFailure and tells the others; one that hears nobody has the
-	// platform back for this long before it notices, half of the least time after
-	// which it is held to know what the platform says.
-	afterFailures = 1500 * time.Millisecond
+	// retryPause is the pause after a failed call. Calls cost money, including those that
+	// the platform refuses.
+	retryPause = 700 * time.Millisecond
+	// maxRetryPause bounds that pause for a VM that is no reader: it doubles with each
+	// failure in a row. When the platform is back, a reader notices within retryPause and
+	// the others learn of it from that reader. A VM that reaches no other notices up to
+	// this much later. That is half of the least time after which a VM is expected to know
+	// what the platform says.
+	maxRetryPause = 1500 * time.Millisecond
 )
 
-// backoff is the pause after calls that failed in a row. The zero value is ready.
+// backoff is the pause after calls that failed in a row. The zero value is ready to use.
 type backoff struct{ failures int }
 
 // after returns the pause after a call.
-func (b *backoff) after(err error, watcher bool) time.Duration {
+func (b *backoff) after(err error, reader bool) time.Duration {
 	if err == nil {
 		b.failures = 0
 		return 0
 	}
 	b.failures++
-	if watcher {
-		return afterFailure
+	if reader {
+		return retryPause
 	}
-	return min(afterFailures, afterFailure<<min(b.failures-1, 4))
+	return min(maxRetryPause, retryPause<<min(b.failures-1, 4))
 }
 
-// dependency logs when the platform is lost and when it is there again.
-type dependency struct {
+// platformStatus logs when the platform becomes unavailable and when it is available again.
+type platformStatus struct {
 	log  *logrus.Entry
 	lost bool
 }
 
-func (d *dependency) note(table string, err error) {
+func (s *platformStatus) note(table string, err error) {
 	switch {
-	case err != nil && !d.lost:
-		d.log.WithFields(logrus.Fields{"Table": table, "Err": err}).Warn("PlatformLost")
-	case err == nil && d.lost:
-		d.log.WithField("Table", table).Info("PlatformRegained")
+	case err != nil && !s.lost:
+		s.log.WithFields(logrus.Fields{"Table": table, "Err": err}).Warn("PlatformLost")
+	case err == nil && s.lost:
+		s.log.WithField("Table", table).Info("PlatformRegained")
 	}
-	d.lost = err != nil
+	s.lost = err != nil
 }
 
-// rulesLoop keeps the copy of the rules up to date. A watcher has the platform
-// hold its answer back until something changes.
+// rulesLoop keeps the copy of the rules up to date. A reader uses long polls.
 func (v *VM) rulesLoop(ctx context.Context) {
-	dep, wait := &dependency{log: v.log}, &backoff{}
-	v.awaitOthers(ctx)
+	status, wait := &platformStatus{log: v.log}, &backoff{}
+	v.awaitSeedCopies(ctx)
 	for ctx.Err() == nil {
 		now := time.Now()
-		others := len(v.currentWatchers(now)) > 0
+		others := len(v.cachedReaderAddrs(now)) > 0
 		if !v.rulesDue(now, others) {
 			if !lifecycle.Pause(ctx, pollTick) {
 				return
@@ -102,88 +103,88 @@
 		if ctx.Err() != nil {
 			return
 		}
-		dep.note(TableRules, err)
+		status.note(TableRules, err)
 		if pause := wait.after(err, !others); pause > 0 && !lifecycle.Pause(ctx, pause) {
 			return
 		}
 	}
 }
 
-// rulesDue reports whether this VM has to ask the platform for the rules itself.
+// rulesDue reports whether this VM has to read the rules from the platform itself.
 func (v *VM) rulesDue(now time.Time, others bool) bool {
 	switch {
-	case v.replicas[TableRules].Head(now).Age >= watchWait+v.staleAge():
+	case v.replicas[TableRules].Head(now).Age >= longPollWait+v.staleAge():
 		return true
 	case v.settling(now):
 		return false
 	case !others:
 		return true
 	}
-	return v.strict(v.table.Load()) && v.unsureTurn(now, v.rulesAge(clock.Boot()))
+	return v.strict(v.table.Load()) && v.takeoverDue(now, v.rulesAge(clock.Boot()))
 }
 
-// rulesWait is how long the platform may hold back its answer about the rules. The answer
-// says what was so when it was asked for, so one that is waited for is as old as that.
+// rulesWait is how long the platform may hold back its response about the rules. A
+// response reflects the time of its request, so after a long poll it is as old as the wait.
 func (v *VM) rulesWait(others bool) time.Duration {
 	switch {
 	case !v.strict(v.table.Load()):
-		return watchWait
+		return longPollWait
 	case others:
 		return 0
 	}
-	return min(watchWait, lifecycle.Share(v.cfg.Load().RevokeWithin, watchShare))
+	return min(longPollWait, lifecycle.Share(v.cfg.Load().RevokeWithin, longPollFraction))
 }
 
 // targetsLoop keeps the copy of the table of upstreams up to date.
 func (v *VM) targetsLoop(ctx context.Context) {
-	dep, wait := &dependency{log: v.log}, &backoff{}
-	var notBefore, askNotBefore time.Time
-	v.awaitOthers(ctx)
+	status, wait := &platformStatus{log: v.log}, &backoff{}
+	var nextRead, nextPull time.Time
+	v.awaitSeedCopies(ctx)
 	lifecycle.Every(ctx, pollTick, func(now time.Time) {
 		age := v.replicas[TableTargets].Head(now).Age
-		watchers := v.currentWatchers(now)
+		readers := v.cachedReaderAddrs(now)
 		maxAge := v.staleAge()
-		if len(watchers) == 0 && !v.settling(now) {
-			maxAge = watchAge
-		} else if len(watchers) > 0 && age >= relayAge && !now.Before(askNotBefore) {
-			if sources, due := v.sources(now, age, watchers); age >= due {
-				askNotBefore = now.Add(due / 2)
+		if len(readers) == 0 && !v.settling(now) {
+			maxAge = readerPullAge
+		} else if len(readers) > 0 && age >= relayAge && !now.Before(nextPull) {
+			if sources, due := v.sources(now, age, readers); age >= due {
+				nextPull = now.Add(due / 2)
 				v.startExchanges(ctx, sources, 1, nil)
 			}
 		}
-		if now.Before(notBefore) || age < maxAge {
+		if now.Before(nextRead) || age < maxAge {
 			return
 		}
 		err := v.refresh(ctx, TableTargets, 0)
 		if ctx.Err() != nil {
 			return
 		}
-		dep.note(TableTargets, err)
-		notBefore = time.Now().Add(wait.after(err, len(watchers) == 0))
+		status.note(TableTargets, err)
+		nextRead = time.Now().Add(wait.after(err, len(readers) == 0))
 	})
 }
 
 const (
-	// firstCopies is how long a VM waits for others' copies where all start for the
-	// first time. The seeds read the platform, three VMs in place of all: 195 that
-	// read for themselves made some 2,000 calls before the first caller came. Callers
-	// are not due for some seconds. A VM that has heard no seed by then reads for itself.
-	firstCopies = 2 * time.Second
-	// settleFor is how long a VM that has started goes by the copies that it has read
-	// before it takes itself for one that reads for all: two heartbeats, by which it
-	// has heard of the others.
-	settleFor = 2 * heartbeat
+	// seedCopiesTimeout is how long a VM waits for the copies of a seed when all VMs start
+	// for the first time. Then only the seeds, three VMs, read the platform: 195 VMs that
+	// read for themselves made some 2,000 calls before the first caller came. No callers
+	// are expected for some seconds. A VM that received no copies by then reads for itself.
+	seedCopiesTimeout = 2 * time.Second
+	// settlePeriod is how long a VM that has started relies on the copies it has read
+	// before it may consider itself a reader: two heartbeats, by which it knows the
+	// other VMs.
+	settlePeriod = 2 * heartbeat
 )
 
-// awaitOthers waits, where all VMs start for the first time, until a seed has handed
-// its copies over. It returns at once on a seed, and on any VM that starts later: its
-// callers are there.
-func (v *VM) awaitOthers(ctx context.Context) {
+// awaitSeedCopies waits, when all VMs start for the first time, until a seed has sent
+// its copies. It returns at once on a seed, and on a VM that starts later, whose
+// callers do not wait.
+func (v *VM) awaitSeedCopies(ctx context.Context) {
 	cfg := v.cfg.Load()
 	if !cfg.FirstStart || len(cfg.Seeds) == 0 || slices.Contains(cfg.Seeds, cfg.PeerAddr) {
 		return
 	}
-	for time.Since(v.started) < firstCopies && !v.hasCopies() {
+	for time.Since(v.started) < seedCopiesTimeout && !v.hasCopies() {
 		if !lifecycle.Pause(ctx, pollTick) {
 			return
 		}
@@ -200,22 +201,21 @@
 	return true
 }
 
-// settling reports whether this VM cannot have heard of the others yet.
-func (v *VM) settling(now time.Time) bool { return now.Sub(v.started) < settleFor }
+// settling reports whether this VM may not know of the others yet.
+func (v *VM) settling(now time.Time) bool { return now.Sub(v.started) < settlePeriod }
 
-// staleAge is how old the copy of the upstreams may become before this VM reads
-// it itself.
+// staleAge is the age of the copy of the upstreams at which this VM reads the table
+// from the platform itself.
 func (v *VM) staleAge() time.Duration {
-	return time.Duration(staleShare * float64(v.cfg.Load().LeaveWithin))
+	return time.Duration(staleFraction * float64(v.cfg.Load().LeaveWithin))
 }
 
-// refresh brings a copy up to date from the platform. With a wait the answer
-// is held back until something changes.
+// refresh brings a copy up to date from the platform. With a wait it is a long poll.
 func (v *VM) refresh(ctx context.Context, name string, wait time.Duration) error {
 	t := v.replicas[name]
 	timeout := callTimeout
 	if wait > 0 && t.Loaded() {
-		timeout = wait + watchSlack
+		timeout = wait + longPollSlack
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -245,7 +245,7 @@
 	return nil
 }
 
-// signalChange has the copies looked at again, and their changes handed on.
+// signalChange triggers applying the copies and pushing their changes to peers.
 func (v *VM) signalChange() {
 	for _, c := range []chan struct{}{v.changed, v.toPush} {
 		select {
@@ -255,10 +255,10 @@
 	}
 }
 
-// lapseTick is how often targets that change by time alone are looked at.
-const lapseTick = 250 * time.Millisecond
+// expiryTick is how often targets that change only with time are checked.
+const expiryTick = 250 * time.Millisecond
 
-// applyLoop turns the copies into what requests are carried by.
+// applyLoop applies the copies: requests are routed by the result.
 func (v *VM) applyLoop(ctx context.Context) {
 	var soon <-chan time.Time
 	for {
@@ -270,18 +270,17 @@
 		}
 		soon = nil
 		if v.apply(time.Now()) {
-			soon = time.After(lapseTick)
+			soon = time.After(expiryTick)
 		}
 	}
 }
 
-// apply takes the copies into use, and reports whether that has to be done
-// again soon.
+// apply applies the copies, and reports whether that has to be done again soon.
 func (v *VM) apply(now time.Time) (soon bool) {
 	if !v.replicas[TableRules].Loaded() {
 		return false
 	}
-	// The moment is asked for first: the rows are as new as that or newer.
+	// Read the time first: the rows are as of that time or newer.
 	asOf, _ := v.replicas[TableRules].VerifiedAsOf()
 	rules, changes, err := v.readRules()
 	if err != nil {
@@ -289,7 +288,7 @@
 		return false
 	}
 	if v.applyConfig(rules.Config) {
-		v.ruled.Store(&ruledCopy{changes: changes, asOf: asOf})
+		v.applied.Store(&appliedRules{changes: changes, asOf: asOf})
 	}
 	if !v.replicas[TableTargets].Loaded() {
 		return false
@@ -297,7 +296,7 @@
 	return v.applyTargets(now, rules.Evacuations)
 }
 
-// applyConfig takes a configuration into use, and reports whether it, or a later one, is.
+// applyConfig applies a configuration, and reports whether it, or a later one, is in force.
 func (v *VM) applyConfig(cfg *route.Config) bool {
 	old := v.table.Load()
 	if cfg == nil {
@@ -322,7 +321,7 @@
 	change, soon := v.registry.Update(now, v.readTargets(), ev)
 	v.balancer.ChangeTargets(change.Updated, change.Gone)
 	ended := slices.Concat(change.Gone, v.registry.AtAddresses(change.Added))
-	v.guard.Replaced(v.work, now, incarnations(ended), incarnations(change.Added))
+	v.guard.Replaced(v.workCtx, now, upstreamsOf(ended), upstreamsOf(change.Added))
 	first := !v.targets.known()
 	v.targets.change(change.Added, change.Gone)
 	if first {
@@ -334,8 +333,8 @@
 	return soon
 }
 
-// staleCopies logs when a copy has not been confirmed for so long that the
-// bound on leaving upstreams may not be kept, and when it is confirmed again.
+// staleCopies logs when a copy has not been confirmed for so long that the bound on
+// leaving upstreams may be missed, and when it is confirmed again.
 type staleCopies struct {
 	log   *logrus.Entry
 	stale map[string]bool
@@ -348,7 +347,7 @@
 	}
 }
 
-// behind reports whether the platform has not confirmed a copy for a while.
-func (v *VM) behind(now time.Time) bool {
-	return v.replicas[TableTargets].Head(now).Age > behindAge
+// targetsUnconfirmed reports whether the platform has not confirmed the copy of the upstreams recently.
+func (v *VM) targetsUnconfirmed(now time.Time) bool {
+	return v.replicas[TableTargets].Head(now).Age > unconfirmedAge
 }
--- a/io/entry/decoded.go
+++ b/io/entry/decoded.go
@@ -10,14 +10,14 @@
 	"auburnlatch/core/target"
 )
 
-// decoded keeps what the rows of the rules' copy say, of applyLoop alone. The zero value is
-// ready.
+// decoded caches the decoded rows of the rules' copy. Only applyLoop uses it. The zero
+// value is ready to use.
 type decoded struct {
 	rules   Rules
-	changes uint64 // Of the copy; 0: nothing has been decoded yet.
+	changes uint64 // The copy's count of changes; 0 if nothing has been decoded yet.
 }
 
-// readRules returns the rules and the number of changes that the copy had seen.
+// readRules returns the rules and the copy's count of changes.
 func (v *VM) readRules() (Rules, uint64, error) {
 	rows, changes := v.replicas[TableRules].Rows()
 	if changes == v.decoded.changes && changes > 0 {
@@ -31,9 +31,9 @@
 	return rules, changes, nil
 }
 
-// readTargets returns the registrations that changed since the last call, all of them where
-// zones are at other regions now. One that names no upstream is logged, and an earlier one of
-// the same key does not hold any more.
+// readTargets returns the registrations that changed since the last call, or all of them
+// if the mapping of zones to regions changed. A row that cannot be decoded is logged, and
+// an earlier registration of its key is removed.
 func (v *VM) readTargets() []target.Registration {
 	rows, forgotten := v.replicas[TableTargets].Changed()
 	if regions := v.cfg.Load().Regions; !maps.Equal(regions, v.registry.Regions) {
@@ -59,14 +59,14 @@
 	return reg
 }
 
-// registered are the incarnations that are registered. The zero value is ready, and knows
-// of none.
+// registered is the set of registered incarnations. The zero value is ready to use: the
+// table of upstreams is not known yet.
 type registered struct {
 	mu    sync.RWMutex
-	names map[string]bool // nil: the table of upstreams is not known.
+	names map[string]bool // nil while the table of upstreams is not known.
 }
 
-// change takes in incarnations that are there now, and others that are not any more.
+// change adds and removes incarnations.
 func (r *registered) change(added, gone []*target.Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,14 +88,14 @@
 	return r.names != nil
 }
 
-// count returns how many there are.
+// count returns the number of registered incarnations.
 func (r *registered) count() int {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return len(r.names)
 }
 
-// has reports whether an incarnation is registered, true while the table is not known.
+// has reports whether an incarnation is registered. It returns true while the table is not known.
 func (r *registered) has(incarnation string) bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/io/entry/directory.go
+++ b/io/entry/directory.go
@@ -13,48 +13,48 @@
 )
 
 const (
-	// lookupTTL is how long a look-up may be cached where the settings allow it:
-	// callers leave a VM that is gone after that, at the cost of one look-up each.
+	// lookupTTL is how long a look-up may be cached if the settings allow it. Callers
+	// leave a VM that is gone after that time, at the cost of one look-up each.
 	lookupTTL = 2 * time.Second
-	// maxAddrs is how many addresses an answer names at most.
+	// maxAddrs bounds the addresses in the result of a look-up.
 	maxAddrs = 64
-	// nameEvery is how often the VMs to be named are worked out anew: half a
-	// heartbeat, as nothing is heard of them in between.
-	nameEvery = heartbeat / 2
+	// lookupCacheTTL is how long the result of a look-up is reused: half a heartbeat,
+	// as the state of the VMs does not change in between.
+	lookupCacheTTL = heartbeat / 2
 )
 
-// lookups keeps the answers to look-ups for a moment. The zero value is ready.
+// lookups caches the results of look-ups. The zero value is ready to use.
 type lookups struct {
 	mu       sync.Mutex
 	at       time.Time
 	ready    bool
 	byRegion map[string][]string
-	// logged are the last answers to callers of this VM's own region.
+	// logged is the last logged result for this VM's own region.
 	logged []string
 }
 
-// Lookup implements Front. It names ready VMs of the caller's region, and those
-// of other regions only where the region has none: a request's body may be bound to
+// Lookup implements Front. It returns ready VMs of the caller's region, and VMs of
+// other regions only if the region has none, as a request's body may have to stay in
 // its caller's region.
 func (v *VM) Lookup(now time.Time, region, zone string) Lookup {
 	l := &v.lookups
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if ready := v.Ready(); l.byRegion == nil || now.Sub(l.at) >= nameEvery || l.ready != ready {
+	if ready := v.Ready(); l.byRegion == nil || now.Sub(l.at) >= lookupCacheTTL || l.ready != ready {
 		l.at, l.ready, l.byRegion = now, ready, make(map[string][]string)
 	}
 	list, ok := l.byRegion[region]
 	if !ok {
-		list = v.nameVMs(now, region)
+		list = v.namedAddrs(now, region)
 		l.byRegion[region] = list
-		v.logNames(region, list)
+		v.logNamed(region, list)
 	}
 	return Lookup{Addrs: list, TTL: min(lookupTTL, v.cfg.Load().LookupTTL)}
 }
 
-// logNames logs whom callers of this VM's region are sent to, when that changes. The
-// caller holds the lock of lookups.
-func (v *VM) logNames(region string, list []string) {
+// logNamed logs the VMs to which callers of this VM's region are sent, if they changed.
+// The caller holds the lock of lookups.
+func (v *VM) logNamed(region string, list []string) {
 	if region != v.cfg.Load().Region || slices.Equal(list, v.lookups.logged) {
 		return
 	}
@@ -62,15 +62,15 @@
 	v.log.WithFields(logrus.Fields{"Region": region, "Named": len(list), "Addrs": strings.Join(list, ",")}).Info("VMsNamed")
 }
 
-// nameVMs returns the addresses of the VMs that callers of a region are to use.
-func (v *VM) nameVMs(now time.Time, region string) []string {
-	near, far := v.takers(now, region)
+// namedAddrs returns the addresses of the VMs that callers of a region are to use.
+func (v *VM) namedAddrs(now time.Time, region string) []string {
+	near, far := v.readyVMs(now, region)
 	var addrs []string
 	if len(near) == 0 {
 		near = far
 	}
 	if len(near) == 0 {
-		near = v.unsure(now, region)
+		near = v.unverifiedVMs(now, region)
 	}
 	for _, vm := range callers.Named(near) {
 		addrs = append(addrs, vm.Address.Caller)
@@ -79,22 +79,23 @@
 	return addrs[:min(len(addrs), maxAddrs)]
 }
 
-// unsure returns the VMs of a region that run and cannot judge keys, where no VM can: the
-// platform is away, and what needs no key is served on. A VM that hears nobody else names
-// none: it is cut off, and its caller better asks another where to go.
-func (v *VM) unsure(now time.Time, region string) []*member.VM {
+// unverifiedVMs returns the VMs of a region that run but cannot verify keys, for the
+// case that no VM can: the platform is unavailable, and requests that need no key are
+// still served. A VM that reaches no peer returns none: it is cut off, and its caller
+// should ask another VM.
+func (v *VM) unverifiedVMs(now time.Time, region string) []*member.VM {
 	list := slices.DeleteFunc(v.liveIn(now, region), func(vm *member.VM) bool { return vm.Leaving })
-	alone := len(v.members.Peers(now)) > 0 && len(v.members.Live(now)) < 2
-	if v.serving() && !alone && (region == v.cfg.Load().Region || len(list) == 0) {
+	isolated := len(v.members.Peers(now)) > 0 && len(v.members.Live(now)) < 2
+	if v.serving() && !isolated && (region == v.cfg.Load().Region || len(list) == 0) {
 		list = append(list, v.self(now))
 	}
 	return list
 }
 
-// takers returns the VMs that take callers' requests, those of a region and the
-// others.
-func (v *VM) takers(now time.Time, region string) (near, far []*member.VM) {
-	for other, vms := range v.takersByRegion(now, v.members.Peers(now)) {
+// readyVMs returns the VMs that take callers' requests, those of a region and those of
+// the others.
+func (v *VM) readyVMs(now time.Time, region string) (near, far []*member.VM) {
+	for other, vms := range v.readyByRegion(now, v.members.Peers(now)) {
 		if other == region {
 			near = vms
 		} else {
@@ -104,18 +105,18 @@
 	return near, far
 }
 
-// takersByRegion returns the VMs that take callers' requests, this one and those among the
-// others, by their region.
-func (v *VM) takersByRegion(now time.Time, mates []member.Status) map[string][]*member.VM {
-	regions, takers := v.cfg.Load().Regions, make(map[string][]*member.VM)
-	add := func(vm *member.VM) { takers[regions[vm.Zone]] = append(takers[regions[vm.Zone]], vm) }
+// readyByRegion returns the VMs that take callers' requests, this one and those among
+// its peers, by their region.
+func (v *VM) readyByRegion(now time.Time, peers []member.Status) map[string][]*member.VM {
+	regions, byRegion := v.cfg.Load().Regions, make(map[string][]*member.VM)
+	add := func(vm *member.VM) { byRegion[regions[vm.Zone]] = append(byRegion[regions[vm.Zone]], vm) }
 	if v.Ready() {
 		add(v.self(now))
 	}
-	for _, m := range mates {
+	for _, m := range peers {
 		if m.State == member.Live && m.VM.Dispatches && !m.VM.Leaving {
 			add(m.VM)
 		}
 	}
-	return takers
+	return byRegion
 }
--- a/io/entry/doc.go
+++ b/io/entry/doc.go
@@ -1,20 +1,21 @@
-// Package entry is one entry VM's process where the platform keeps the rules
-// and the register of upstreams: it takes callers' requests in, finds their
-// route, chooses an upstream and carries the request there and the answer back.
+// Package entry implements the process of an entry VM for the mode in which the
+// platform stores the rules and the registry of upstreams. It receives callers'
+// requests, finds their routes, chooses upstreams, and forwards the requests and
+// their responses.
 //
-// All VMs are alike and none leads. Each keeps copies of two of the platform's
-// tables, the rules and the upstreams, and brings them up to date from the
-// platform or, while the platform turns it away, from another VM. What the
-// platform's tables hold is known to the Platform alone.
+// All VMs are equal and there is no leader. Each keeps copies of two of the
+// platform's tables, the rules and the upstreams. It updates them from the platform
+// or, while the platform refuses its calls, from another VM. Only the Platform knows
+// the format of the rows.
 //
 // # Usage
 //
 //	v, err := entry.New(cfg, platform, protocol, log)
-//	err = v.Run(ctx, reload)     // Serves until ctx ends, then leaves gracefully.
+//	err = v.Run(ctx, reload)     // Serves until ctx ends, then shuts down gracefully.
 //
-// When ctx ends the VM is no longer ready and no longer named by the directory,
-// goes on serving callers that still know it, finishes what is in flight and
-// returns within the grace time of the settings.
+// When ctx ends, the VM is not ready any more and look-ups do not return it. It still
+// serves callers that know its address, completes the requests in flight, and returns
+// within the grace time of the settings.
 package entry
 
 import (
@@ -30,91 +31,90 @@
 	"auburnlatch/core/target"
 )
 
-// The tables that a VM keeps copies of.
+// The tables of which a VM keeps copies.
 const (
 	TableRules   = "Rules"
 	TableTargets = "Targets"
 )
 
-// ErrHistory says that a table's changes after a version are not kept any more.
-var ErrHistory = errors.New("the history is no longer kept")
+// ErrHistory reports that the changes of a table after a version are not retained any more.
+var ErrHistory = errors.New("changes after the version are no longer retained")
 
-// Rules is what operators have set.
+// Rules are the operators' settings.
 type Rules struct {
 	Config      *route.Config
 	Evacuations target.Evacuations
 }
 
-// Platform is where the rules and the register of upstreams are kept.
+// Platform stores the rules and the registry of upstreams.
 type Platform interface {
-	// Read returns a table whole.
+	// Read returns a whole table.
 	Read(ctx context.Context, table string) (replica.Delta, error)
-	// Changes returns what changed after a version as soon as there is
-	// something, or after the wait. It returns ErrHistory where that is no
-	// longer known.
+	// Changes returns the changes after a version as soon as there are any, or none
+	// after the wait. It returns ErrHistory if they are not retained any more.
 	Changes(ctx context.Context, table string, after uint64, wait time.Duration) (replica.Delta, error)
-	// Trip returns how long a round trip to the platform takes. It is no call: the
-	// platform counts those.
+	// Trip returns the round-trip time to the platform. It must not be measured by a
+	// call, as the platform counts calls.
 	Trip(ctx context.Context) (time.Duration, error)
-	// Same reports whether two values of a row mean the same.
+	// Same reports whether two values of a row have the same meaning.
 	Same(table, key string, a, b []byte) bool
-	// Rules decodes the table of rules. A nil Config says that there is none.
+	// Rules decodes the table of rules. Config is nil if there is none.
 	Rules(rows []replica.Row) (Rules, error)
 	// Registration decodes a row of the table of upstreams.
 	Registration(row replica.Row) (target.Registration, error)
 	// Announce registers the address at which other VMs reach this one.
 	Announce(ctx context.Context, name, peerAddr string) error
-	// Withdraw takes the registration back.
+	// Withdraw removes the registration.
 	Withdraw(ctx context.Context, name string) error
 	// VMs returns the registered addresses.
 	VMs(ctx context.Context) ([]string, error)
-	// KeepPlacements keeps a region's placements, in place of those before.
+	// KeepPlacements stores a region's placements and replaces the previous ones.
 	KeepPlacements(ctx context.Context, region string, data []byte) error
-	// Placements returns them; nil: there are none.
+	// Placements returns a region's placements, or nil if there are none.
 	Placements(ctx context.Context, region string) ([]byte, error)
-	// KeepBans keeps bans of requests, each in place of an earlier one of its request.
+	// KeepBans stores bans of requests. Each replaces an earlier ban of its request.
 	KeepBans(ctx context.Context, bans []poison.Ban) error
-	// Bans returns all.
+	// Bans returns all bans.
 	Bans(ctx context.Context) ([]poison.Ban, error)
-	// DropBans forgets those of some requests.
+	// DropBans deletes the bans of some requests.
 	DropBans(ctx context.Context, prints []poison.Print) error
 }
 
-// Protocol names the header fields that callers and upstreams use.
+// Protocol has the names of the header fields that callers and upstreams use.
 type Protocol struct {
-	// RequestID names one attempt of a caller; upstreams repeat it.
+	// RequestID identifies one attempt of a caller. Upstreams echo it.
 	RequestID string
 	// DeadlineMillis is how long the sender will wait.
 	DeadlineMillis string
-	// ExpectTarget names the incarnation that a request is meant for. Any other
-	// answers 421 and does not run it.
+	// ExpectTarget names the incarnation for which a request is meant. Any other
+	// responds with 421 and does not run it.
 	ExpectTarget string
-	// NotRun marks an answer as the upstream's word that it did not run the
+	// NotRun marks a response as an upstream's statement that it did not run the
 	// request.
 	NotRun string
-	// Load has the requests running, those waiting and the slots.
+	// Load has the numbers of running requests, waiting requests and slots.
 	Load string
-	// Limit is how many requests a second the upstream takes of all VMs together, as a
-	// decimal number; an answer without it says that there is no limit.
+	// Limit is how many requests per second the upstream accepts from all VMs together,
+	// as a decimal number. A response without it means that there is no limit.
 	Limit string
-	// Leaving is "1" in the answers of an upstream that is going away and wants nothing new.
+	// Leaving is "1" in the responses of an upstream that shuts down and wants no new requests.
 	Leaving string
-	// Team tells an upstream whose request it is.
+	// Team names the team of a request to an upstream.
 	Team string
 	// Key returns the object that a request concerns, or "".
 	Key func(*http.Request) string
-	// Caller returns what names the caller of a request, wherever it comes from; nil:
-	// nothing does.
+	// Caller returns the identity of a request's caller, independent of the address it
+	// calls from. If nil, callers have no identity.
 	Caller func(*http.Request) string
 }
 
-// Lookup is the answer to a caller that asks where to connect.
+// Lookup is the result of a caller's look-up of the VMs to connect to.
 type Lookup struct {
 	Addrs []string
 	TTL   time.Duration
 }
 
-// Front is what the platform's protocol for look-ups and checks needs.
+// Front is what the platform's protocol for look-ups and health checks needs.
 type Front interface {
 	// Ready reports whether the VM should be sent requests.
 	Ready() bool
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -26,17 +26,16 @@
 )
 
 const (
-	// readHeaderTimeout bounds how long a caller may take for a header until
-	// the rules say otherwise.
+	// readHeaderTimeout bounds the time to read a request's header.
 	readHeaderTimeout = 10 * time.Second
-	// maxHeader in bytes, where the rules allow less they are refused there.
+	// maxHeader is in bytes. Where the rules allow less, larger headers are refused later.
 	maxHeader = 64 << 10
-	// failAfter is the silence after which another VM is not named to callers
-	// any more: six heartbeats, so that a lost one does not count.
+	// failAfter is the time without a heartbeat after which another VM is not returned
+	// to callers any more: six heartbeats, so that a lost one does not matter.
 	failAfter = 3 * time.Second
 )
 
-// VM is one entry VM's process.
+// VM is the process of one entry VM.
 type VM struct {
 	cfg      atomic.Pointer[settings.Entry]
 	platform Platform
@@ -47,68 +46,68 @@
 	traffic  callers.Meter
 	lookups  lookups
 
-	started  time.Time
-	members  *member.Table
-	replicas peer.Replicas
-	peers    *peer.Client
-	sent     peer.SentCounter // What this VM told others.
-	known    addresses
-	trip     atomic.Int64 // See platformTrip.
-	// tripKnown is closed when trip is.
-	tripKnown chan struct{}
+	started         time.Time
+	members         *member.Table
+	replicas        peer.Replicas
+	peerClient      *peer.Client
+	sent            peer.SentCounter // What this VM sent to others.
+	registeredAddrs addresses
+	rtt             atomic.Int64 // See platformRTT.
+	// rttKnown is closed when rtt is set.
+	rttKnown chan struct{}
 
-	registry  target.Registry // Of applyLoop alone.
-	decoded   decoded         // Of applyLoop alone.
-	balancer  *balance.Balancer
-	retries   balance.RetryBudget
-	limits    ratelimit.Limiter
-	collector ratelimit.Collector
-	used      atomic.Pointer[[]string] // See usedAddrs.
-	senders   atomic.Pointer[senders]
-	basis     sendersBasis // Of heartbeatLoop alone: what senders were worked out from.
-	// lastWatchers is for currentWatchers.
-	lastWatchers atomic.Pointer[watchersAt]
-	mates        atomic.Pointer[mateAddrs]
-	upstreams    *upstream.Pool
-	picks        route.SplitCounts
-	guard        *quarantine.Guard
-	table        atomic.Pointer[route.Table]
-	ruled        atomic.Pointer[ruledCopy]
-	targets      registered
+	registry     target.Registry // Used by applyLoop only.
+	decoded      decoded         // Used by applyLoop only.
+	balancer     *balance.Balancer
+	retries      balance.RetryBudget
+	limits       ratelimit.Limiter
+	collector    ratelimit.Collector
+	activeAddrs  atomic.Pointer[[]string] // See findActiveAddrs.
+	activeCache  atomic.Pointer[activeVMs]
+	activeInputs activeInputs // Used by heartbeatLoop only: the inputs of active.
+	// readerCache is used by cachedReaderAddrs.
+	readerCache   atomic.Pointer[cachedReaders]
+	peerAddrCache atomic.Pointer[peerAddrSet]
+	upstreams     *upstream.Pool
+	splits        route.SplitCounts
+	guard         *quarantine.Guard
+	table         atomic.Pointer[route.Table]
+	applied       atomic.Pointer[appliedRules]
+	targets       registered
 
-	leaving    atomic.Bool
-	announced  atomic.Bool     // The platform may have this VM's address.
-	work       context.Context // Ends when a stop gives up on what is left.
-	giveUp     context.CancelFunc
-	inFlight   atomic.Int64
-	aheads     atomic.Int64 // Requests begun before their turn.
-	idle       idleConns
-	loaded     chan struct{} // Closed when rules and upstreams are known.
-	changed    chan struct{}
-	toPush     chan struct{}
-	placed     chan struct{} // Objects were placed here.
-	exchanging sync.Map      // Addresses with an exchange under way.
-	background lifecycle.Group
+	leaving        atomic.Bool
+	announced      atomic.Bool     // The platform may have this VM's address.
+	workCtx        context.Context // Canceled when a stopping VM cancels the remaining requests.
+	cancelWork     context.CancelFunc
+	inFlight       atomic.Int64
+	pipelinedCount atomic.Int64 // Pipelined requests that are processed before their turn.
+	idle           idleConns
+	loaded         chan struct{} // Closed when rules and upstreams are known.
+	changed        chan struct{}
+	toPush         chan struct{}
+	newPlacements  chan struct{} // Signals new placements of this VM.
+	exchanging     sync.Map      // Addresses with which an exchange is in progress.
+	background     lifecycle.Group
 }
 
-// New returns a VM. It opens nothing before Run.
+// New returns a VM. It opens no connections or files before Run.
 func New(cfg *settings.Entry, p Platform, protocol Protocol, log *logrus.Entry) *VM {
 	now := time.Now()
 	v := &VM{
 		platform: p, protocol: protocol, log: log, started: now,
 		members:   member.NewTable(cfg.Name, cfg.Zone, uint64(now.UnixNano()), now, member.WithReports(), member.WithFailAfter(failAfter)),
 		replicas:  peer.Replicas{},
-		upstreams: upstream.NewPool(), tripKnown: make(chan struct{}),
-		loaded:  make(chan struct{}),
-		changed: make(chan struct{}, 1),
-		toPush:  make(chan struct{}, 1),
-		placed:  make(chan struct{}, 1),
+		upstreams: upstream.NewPool(), rttKnown: make(chan struct{}),
+		loaded:        make(chan struct{}),
+		changed:       make(chan struct{}, 1),
+		toPush:        make(chan struct{}, 1),
+		newPlacements: make(chan struct{}, 1),
 	}
 	for _, name := range []string{TableRules, TableTargets} {
 		v.replicas[name] = replica.NewTable(name, func(key string, a, b []byte) bool { return p.Same(name, key, a, b) })
 	}
-	v.peers = peer.NewClient(peer.WithExchangesCounted(&v.sent))
-	v.balancer = balance.New(cfg.Name, cfg.Region, cfg.Zone, balance.WithNews(v.signalPlaced))
+	v.peerClient = peer.NewClient(peer.WithExchangesCounted(&v.sent))
+	v.balancer = balance.New(cfg.Name, cfg.Region, cfg.Zone, balance.WithNews(v.signalPlacements))
 	var opts []quarantine.Option
 	if cfg.FirstStart {
 		opts = append(opts, quarantine.WithFirstStart())
@@ -116,21 +115,20 @@
 	}
 	v.guard = quarantine.New(cfg.Name, fleet{v}, countedKeeper{v}, v.upstreams, log, opts...)
 	v.requests.log = log
-	v.work, v.giveUp = context.WithCancel(context.Background())
+	v.workCtx, v.cancelWork = context.WithCancel(context.Background())
 	v.Configure(cfg)
 	return v
 }
 
-// Configure takes new settings into use. Addresses stay as they were when the
-// process started.
+// Configure applies new settings. Addresses stay as they were when the process started.
 func (v *VM) Configure(cfg *settings.Entry) {
 	v.cfg.Store(cfg)
 	v.retries.SetBounds(cfg.RetryRatio, cfg.RetryWindow, cfg.RetryExtra)
 	v.limits.SetBounds(cfg.Limits)
 }
 
-// Run serves until ctx ends, then leaves gracefully. further are the handlers
-// of further addresses, such as that for look-ups.
+// Run serves until ctx ends, then shuts down gracefully. further has the handlers for
+// additional addresses, such as the one for look-ups.
 func (v *VM) Run(ctx context.Context, further map[string]http.Handler) error {
 	cfg := v.cfg.Load()
 	live, stop := context.WithCancel(context.Background())
@@ -178,20 +176,20 @@
 	return nil
 }
 
-// Ready implements Front. A VM without rules or without upstreams' addresses
-// is not ready, nor is one that leaves or is about to be unable to judge keys.
+// Ready implements Front. A VM without rules or the table of upstreams is not ready,
+// nor is one that is leaving or will soon be unable to verify keys.
 func (v *VM) Ready() bool { return v.serving() && !v.lapsing() }
 
-// serving reports whether this VM takes requests, if only those that need no key.
+// serving reports whether this VM takes requests, possibly only those that need no key.
 func (v *VM) serving() bool {
 	return v.table.Load() != nil && v.targets.known() && !v.leaving.Load()
 }
 
-// startLoops starts everything that runs by itself.
+// startLoops starts all background loops.
 func (v *VM) startLoops(ctx context.Context, datagrams *peer.Datagrams) {
 	for _, loop := range []func(context.Context){
-		v.tripLoop, v.heartbeatLoop, v.rulesLoop, v.targetsLoop, v.applyLoop, v.addressLoop, v.requests.loop, v.sentLoop,
-		(&pusher{vm: v}).loop, (&placementTeller{vm: v, peer: datagrams}).loop, (&limitTeller{vm: v, peer: datagrams}).loop, (&noticeTeller{vm: v, peer: datagrams}).loop, datagrams.Run,
+		v.rttLoop, v.heartbeatLoop, v.rulesLoop, v.targetsLoop, v.applyLoop, v.addressLoop, v.requests.loop, v.sentLoop,
+		(&pusher{vm: v}).loop, (&placementPublisher{vm: v, peer: datagrams}).loop, (&demandPublisher{vm: v, peer: datagrams}).loop, (&noticePublisher{vm: v, peer: datagrams}).loop, datagrams.Run,
 	} {
 		v.background.Start(ctx, loop)
 	}
--- a/io/entry/entry_test.go
+++ b/io/entry/entry_test.go
@@ -15,18 +15,18 @@
 	"auburnlatch/io/settings"
 )
 
-// A VM that has just started knows no rules. A 404 then tells callers that
-// their request will never be served, and they give up for good.
-func TestUnknownRulesAreNoRefusalForGood(t *testing.T) {
+// A VM that has just started has no rules. It must not respond with 404: callers take
+// that as final and do not retry.
+func TestNoNotFoundBeforeRulesAreKnown(t *testing.T) {
 	p := newPlatform()
 	v := startVM(t, "a", p, nil)
-	eventually(t, "the front answers", func() bool { return v.request(t, http.MethodGet, "/get/1", "1", "").err == nil })
+	eventually(t, "the VM responds", func() bool { return v.request(t, http.MethodGet, "/get/1", "1", "").err == nil })
 	r := v.request(t, http.MethodGet, "/get/1", "1", "")
 	if r.status != http.StatusServiceUnavailable || r.header.Get("Retry-After") == "" {
 		t.Errorf("without rules: %d, Retry-After %q", r.status, r.header.Get("Retry-After"))
 	}
 	if v.Ready() {
-		t.Error("a VM without rules says it is ready")
+		t.Error("a VM without rules is ready")
 	}
 	p.set(entry.TableRules, "config", config(1))
 	register(p, "i-1", startUpstream(t, func(http.ResponseWriter, *http.Request) {}).addr())
@@ -53,14 +53,15 @@
 	ready(t, v)
 	r := v.request(t, http.MethodPost, "/post/a%2Fb?x=1&y=%20", "1", "body")
 	if want := "POST/post/a%2Fb?x=1&y=%20hbodyi-1"; <-got != want {
-		t.Errorf("the upstream got another request than %q", want)
+		t.Errorf("the upstream received a request other than %q", want)
 	}
 	if r.status != http.StatusTeapot || r.body != "answer" || r.header.Get("Stamp") != "s1" {
 		t.Errorf("the caller got %d %q %q", r.status, r.body, r.header.Get("Stamp"))
 	}
 }
 
-// What an upstream does with a request, and what may be done about it.
+// Guards against requests that run twice though their route does not allow it, and against
+// failures where a retry is allowed. Cases are by what the first upstream does.
 func TestAtMostOnce(t *testing.T) {
 	ok := func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) }
 	shed := func(w http.ResponseWriter, _ *http.Request) {
@@ -83,17 +84,17 @@
 	}{
 		{"refused, then served", shed, "/post/1", http.StatusOK},
 		{"another incarnation, then served", misdirected, "/post/1", http.StatusOK},
-		{"booking cut off", cut, "/post/1", http.StatusBadGateway},
-		{"booking's answer cut short", short, "/post/1", http.StatusBadGateway},
-		{"booking failed", fails, "/post/1", http.StatusInternalServerError},
-		{"look-up cut off", cut, "/get/1", http.StatusOK},
-		{"look-up's answer cut short", short, "/get/1", http.StatusOK},
-		{"look-up failed", fails, "/get/1", http.StatusOK},
+		{"POST cut off", cut, "/post/1", http.StatusBadGateway},
+		{"POST with truncated response", short, "/post/1", http.StatusBadGateway},
+		{"POST failed", fails, "/post/1", http.StatusInternalServerError},
+		{"GET cut off", cut, "/get/1", http.StatusOK},
+		{"GET with truncated response", short, "/get/1", http.StatusOK},
+		{"GET failed", fails, "/get/1", http.StatusOK},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := newPlatform()
 			p.set(entry.TableRules, "config", config(1))
-			// The first upstream that is asked does it, the other one serves.
+			// The first upstream that is tried does it, the other one serves.
 			turn := make(chan struct{}, 1)
 			turn <- struct{}{}
 			h := func(w http.ResponseWriter, r *http.Request) {
@@ -110,45 +111,45 @@
 			v := startVM(t, "a", p, nil)
 			ready(t, v)
 			eventually(t, "both upstreams are known", func() bool { return len(v.Figures(time.Now()).GivenUpByReason) == 0 })
-			// A VM alone takes nothing of the retries that all have in common, so
-			// it earns them first.
+			// A VM that does not know the others has no share of the common retry budget, so
+			// it has to earn retries first.
 			for i := range 5 {
-				turnBack(turn, func() { v.request(t, http.MethodGet, "/get/1", fmt.Sprint("warm", i), "") })
+				withoutFault(turn, func() { v.request(t, http.MethodGet, "/get/1", fmt.Sprint("warm", i), "") })
 			}
 			r := v.request(t, http.MethodPost, tc.path, "once", "body")
 			if r.status != tc.status {
 				t.Errorf("the caller got %d (%v), want %d", r.status, r.err, tc.status)
 			}
 			if strings.HasPrefix(tc.path, "/post/") && a.runs("once")+b.runs("once") > 2 {
-				t.Errorf("a booking reached upstreams %d times", a.runs("once")+b.runs("once"))
+				t.Errorf("a POST reached upstreams %d times", a.runs("once")+b.runs("once"))
 			}
 		})
 	}
 }
 
-// turnBack runs f with the fault switched off.
-func turnBack(turn chan struct{}, f func()) {
+// withoutFault runs f with the fault switched off.
+func withoutFault(turn chan struct{}, f func()) {
 	<-turn
 	f()
 	turn <- struct{}{}
 }
 
-// Nobody can serve a request: it is refused at once, with when to come back,
-// rather than held until its deadline.
+// A request that no upstream may serve must be refused at once with a Retry-After, rather
+// than held until its deadline.
 func TestRefusedAtOnce(t *testing.T) {
 	p := newPlatform()
 	p.set(entry.TableRules, "config", config(1))
 	register(p, "i-1", startUpstream(t, func(http.ResponseWriter, *http.Request) {}).addr())
 	v := startVM(t, "a", p, nil)
 	ready(t, v)
-	r := v.request(t, http.MethodGet, "/home/1", "1", "") // Its home has no upstream.
+	r := v.request(t, http.MethodGet, "/home/1", "1", "") // Its home region has no upstream.
 	if r.status != http.StatusServiceUnavailable || r.header.Get("Retry-After") == "" || r.header.Get("Auburnlatch-Verdict") != "NotRun" {
 		t.Errorf("got %d %v", r.status, r.header)
 	}
 }
 
-// An upstream hangs. At the route's timeout the caller gets its answer, which
-// promises nothing, and the upstream sees its connection close.
+// An upstream hangs. At the route's timeout the caller must get a 504, which does not say
+// whether the request ran, and the upstream's connection must be closed.
 func TestTimeout(t *testing.T) {
 	p := newPlatform()
 	p.set(entry.TableRules, "config", config(1))
@@ -165,9 +166,9 @@
 	<-left
 }
 
-// An upstream registers that it drains, or its registration goes, or its zone is
-// evacuated: within two seconds nothing new may be sent there.
-func TestLeavingUpstreamGetsNothing(t *testing.T) {
+// When an upstream registers that it drains, or its registration is removed, or its zone is
+// evacuated, requests to it must stop within two seconds.
+func TestNoRequestsToLeavingUpstream(t *testing.T) {
 	for name, leave := range map[string]func(*fakePlatform, string){
 		"draining": func(p *fakePlatform, addr string) {
 			p.set(entry.TableTargets, "i-1", target.Registration{Service: "s", Addr: addr, Zone: "z", Slots: 4, Draining: true})
@@ -193,21 +194,21 @@
 	}
 }
 
-// The platform turns one VM away and serves its neighbour. What operators
-// change meanwhile must reach the first through the second, or it goes on by old
-// rules and sends to a zone that is being emptied.
-func TestVMTurnedAwayLearnsFromNeighbour(t *testing.T) {
+// The platform refuses one VM and serves its neighbor. Changes by operators must reach the
+// first VM through the second, or it goes on with old rules and sends to a zone that is
+// being evacuated.
+func TestRefusedVMLearnsFromNeighbor(t *testing.T) {
 	shared := newPlatform()
 	shared.set(entry.TableRules, "config", config(1))
 	u := startUpstream(t, func(http.ResponseWriter, *http.Request) {})
 	register(shared, "i-1", u.addr())
 	a := startVM(t, "a", shared, nil)
-	turnedAway := newPlatform()
-	turnedAway.setAway(true)
-	b := startVM(t, "b", turnedAway, func(cfg *settings.Entry) { cfg.Seeds = []string{a.cfg.PeerAddr} })
+	refusing := newPlatform()
+	refusing.setUnavailable(true)
+	b := startVM(t, "b", refusing, func(cfg *settings.Entry) { cfg.Seeds = []string{a.cfg.PeerAddr} })
 	ready(t, b)
 	if r := b.request(t, http.MethodGet, "/get/1", "1", ""); r.status != http.StatusOK {
-		t.Fatalf("by the neighbour's copies: %d", r.status)
+		t.Fatalf("with the neighbor's copies: %d", r.status)
 	}
 	shared.set(entry.TableRules, "z", struct{}{})
 	eventually(t, "the evacuation is known", func() bool {
@@ -221,10 +222,10 @@
 	})
 }
 
-// A VM stops while callers' connections are open. A request that arrives on one
-// of them just as idle connections are closed must still be answered: the caller
-// of a booking could not tell whether it ran.
-func TestStopAnswersWhatArrivesLast(t *testing.T) {
+// A VM stops while callers' connections are open. A request that arrives while idle
+// connections are being closed must still be answered: the caller of a request that is not
+// idempotent could not tell whether it ran.
+func TestStopAnswersRequestsOnIdleConnections(t *testing.T) {
 	p := newPlatform()
 	p.set(entry.TableRules, "config", config(1))
 	register(p, "i-1", startUpstream(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -245,7 +246,7 @@
 	answered, unread := 0, 0
 	closesAt := time.Now().Add(time.Duration(0.48 * float64(v.cfg.StopGrace)))
 	for i, c := range conns {
-		// Around the moment at which idle connections are closed.
+		// Around the time when idle connections are closed.
 		<-time.After(time.Until(closesAt.Add(time.Duration(i-10) * time.Millisecond)))
 		if _, err := fmt.Fprintf(c, "GET /get/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", i); err != nil {
 			unread++
@@ -269,7 +270,7 @@
 		t.Errorf("Run: %v", err)
 	}
 	if ran := int(v.Figures(time.Now()).Requests); ran != answered {
-		t.Errorf("%d requests were taken in and %d answered, %d connections closed unread", ran, answered, unread)
+		t.Errorf("%d requests were received and %d answered, %d connections closed unread", ran, answered, unread)
 	}
 }
 
@@ -283,11 +284,11 @@
 	names := func(v *runningVM, region string) []string { return v.Lookup(time.Now(), region, "z").Addrs }
 	near := []string{a.cfg.FrontAddr, b.cfg.FrontAddr}
 	slices.Sort(near)
-	eventually(t, "the region's VMs are named, and only they", func() bool { return slices.Equal(names(a, "r"), near) })
-	eventually(t, "another region's VM is named to its callers", func() bool { return slices.Equal(names(a, "q"), []string{far.cfg.FrontAddr}) })
+	eventually(t, "only the region's VMs are returned", func() bool { return slices.Equal(names(a, "r"), near) })
+	eventually(t, "another region's VM is returned to its callers", func() bool { return slices.Equal(names(a, "q"), []string{far.cfg.FrontAddr}) })
 	b.stop()
-	eventually(t, "a VM that leaves is not named", func() bool { return slices.Equal(names(a, "r"), []string{a.cfg.FrontAddr}) })
+	eventually(t, "a leaving VM is not returned", func() bool { return slices.Equal(names(a, "r"), []string{a.cfg.FrontAddr}) })
 	if slices.Contains(names(b, "r"), b.cfg.FrontAddr) {
-		t.Error("a VM that leaves names itself")
+		t.Error("a leaving VM returns itself")
 	}
 }
--- a/io/entry/exchange.go
+++ b/io/entry/exchange.go
@@ -11,8 +11,8 @@
 	"auburnlatch/core/member"
 )
 
-// startExchanges starts exchanges with n of the VMs at the given addresses; without members
-// (nil) only the copies of tables are brought level.
+// startExchanges starts exchanges with n of the VMs at the given addresses. If members
+// is nil, only the copies of tables are synchronized.
 func (v *VM) startExchanges(ctx context.Context, addrs []string, n int, members *member.Table) {
 	rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
 	for _, addr := range addrs {
@@ -25,7 +25,7 @@
 	}
 }
 
-// startExchange starts an exchange, unless one with the same VM is under way.
+// startExchange starts an exchange, unless one with the same VM is in progress.
 func (v *VM) startExchange(ctx context.Context, e *exchange) bool {
 	if _, busy := v.exchanging.LoadOrStore(e.addr, true); busy {
 		return false
@@ -36,15 +36,15 @@
 }
 
 // exchangeMembers starts this heartbeat's exchanges of members: always one within the
-// zone, where alone beats are told, and one with a VM that partners names.
+// zone, as heartbeats are sent only there, and one with a VM that partners returns.
 func (v *VM) exchangeMembers(ctx context.Context, now time.Time) {
 	cfg := v.cfg.Load()
-	mates := v.zoneMates(now)
-	near := make(map[string]bool, len(mates))
-	for _, vm := range mates {
+	zonePeers := v.zonePeers(now)
+	near := make(map[string]bool, len(zonePeers))
+	for _, vm := range zonePeers {
 		near[vm.Address.Peer] = true
 	}
-	if m, ok := v.members.FindPeer(now, member.Partner(namesOf(mates), cfg.Name, rand.Int())); ok {
+	if m, ok := v.members.FindPeer(now, member.Partner(namesOf(zonePeers), cfg.Name, rand.Int())); ok {
 		v.startExchange(ctx, &exchange{vm: v, addr: m.VM.Address.Peer, zone: cfg.Zone, members: v.members})
 	}
 	partners := v.partners(now)
@@ -56,37 +56,37 @@
 	}
 }
 
-// partners are the addresses of the VMs with which this one may exchange what it knows:
-// those heard lately, or where there are none all that were ever told, which may be stale.
+// partners returns the addresses of the VMs with which this one may exchange members:
+// those that were live recently, or if there are none, all known ones, which may be stale.
 func (v *VM) partners(now time.Time) []string {
-	live, others := v.heard(now)
+	live, others := v.knownAddrs(now)
 	if len(live) == 0 {
 		return others
 	}
-	// Now and then one that was not heard: VMs that were cut off from each other
-	// would else stay apart when the cut has healed.
-	if len(others) > 0 && rand.IntN(strangerOdds) == 0 {
+	// Sometimes choose a VM that is not live: VMs that were partitioned from each other
+	// would otherwise stay separate when the partition has healed.
+	if len(others) > 0 && rand.IntN(unseenOdds) == 0 {
 		return []string{others[rand.IntN(len(others))]}
 	}
-	if near := v.nearPartners(now); len(near) > 0 {
+	if near := v.localPartners(now); len(near) > 0 {
 		return near
 	}
 	return live
 }
 
-// copyPartners are the addresses of the VMs that may know more of the platform's tables:
-// any. Those beside a VM that the platform has left behind may be as far behind.
+// copyPartners returns the addresses of VMs that may have newer copies of the platform's
+// tables: all of them, as the VMs near one with old copies may have old copies as well.
 func (v *VM) copyPartners(now time.Time) []string {
-	live, others := v.heard(now)
+	live, others := v.knownAddrs(now)
 	if len(live) == 0 {
 		return others
 	}
 	return live
 }
 
-// heard returns the addresses of the VMs that were heard lately, and of those that were
-// not or are only known by an address.
-func (v *VM) heard(now time.Time) (live, others []string) {
+// knownAddrs returns the addresses of the VMs that were live recently, and of those that
+// were not or of which only the address is known.
+func (v *VM) knownAddrs(now time.Time) (live, others []string) {
 	var silent []string
 	for _, m := range v.members.Peers(now) {
 		switch m.State {
@@ -97,51 +97,52 @@
 		}
 	}
 	own := v.cfg.Load().PeerAddr
-	strangers := slices.Concat(v.cfg.Load().Seeds, v.known.get())
-	strangers = slices.DeleteFunc(strangers, func(addr string) bool {
+	unseen := slices.Concat(v.cfg.Load().Seeds, v.registeredAddrs.get())
+	unseen = slices.DeleteFunc(unseen, func(addr string) bool {
 		return addr == own || slices.Contains(live, addr) || slices.Contains(silent, addr)
 	})
-	return live, slices.Concat(silent, strangers)
+	return live, slices.Concat(silent, unseen)
 }
 
-// crossings is how many exchanges on each heartbeat cross from one availability zone,
-// or one region, to others; the rest stay inside. So what crosses does not grow with
-// the VMs: with 195 in three regions two of three exchanges did, of 10 KB each, and
-// the VMs told each other more bytes between regions than callers sent, worked out. Eight leave
-// some where most of a region cannot reach the others.
-const crossings = 8
+// crossExchanges is how many exchanges per heartbeat cross from one availability zone,
+// or one region, to others; the rest stay inside. So the traffic that crosses does not
+// grow with the number of VMs: with 195 VMs in three regions two of three exchanges
+// crossed, of 10 KB each, and by calculation the VMs sent each other more bytes between
+// regions than callers sent. Eight leave some that succeed where most of a region cannot
+// reach the others.
+const crossExchanges = 8
 
-// nearPartners returns the live VMs of this VM's own availability zone or region where
-// this heartbeat's exchange is to stay inside, none where it may go anywhere. The fewer of
-// them a VM that has just started knows, the likelier it is to ask others.
-func (v *VM) nearPartners(now time.Time) []string {
+// localPartners returns the live VMs of this VM's own availability zone or region if
+// this heartbeat's exchange is to stay inside, or none if it may go anywhere. The fewer
+// of them a VM that has just started knows, the likelier its exchange goes elsewhere.
+func (v *VM) localPartners(now time.Time) []string {
 	cfg := v.cfg.Load()
 	var zone, region []string
-	for _, vm := range v.regionMates(now) {
+	for _, vm := range v.regionPeers(now) {
 		region = append(region, vm.Address.Peer)
 		if vm.Zone == cfg.Zone {
 			zone = append(zone, vm.Address.Peer)
 		}
 	}
 	switch {
-	case rand.IntN(len(region)+1) < crossings:
+	case rand.IntN(len(region)+1) < crossExchanges:
 		return nil
-	case rand.IntN(len(zone)+1) < crossings:
+	case rand.IntN(len(zone)+1) < crossExchanges:
 		return region
 	default:
 		return zone
 	}
 }
 
-// strangerOdds is the inverse of the chance that a heartbeat's exchange goes to
-// a VM that is not heard.
-const strangerOdds = 4
+// unseenOdds is the inverse of the probability that a heartbeat's exchange goes to a VM
+// that is not live.
+const unseenOdds = 4
 
 // exchange is one exchange with another VM.
 type exchange struct {
 	vm   *VM
 	addr string
-	// zone is that of both VMs; "": they are of different ones, or it is not known.
+	// zone is the zone of both VMs, or "" if they are of different zones or it is not known.
 	zone    string
 	members *member.Table
 }
@@ -151,8 +152,8 @@
 	v := e.vm
 	defer v.background.Done()
 	defer v.exchanging.Delete(e.addr)
-	// An exchange that fails halfway may have changed a copy all the same.
-	changed, err := v.peers.Sync(ctx, e.addr, e.zone, e.members, v.replicas)
+	// A failed exchange may have changed a copy nevertheless.
+	changed, err := v.peerClient.Sync(ctx, e.addr, e.zone, e.members, v.replicas)
 	if changed {
 		v.signalChange()
 	}
--- a/io/entry/fake_test.go
+++ b/io/entry/fake_test.go
@@ -27,16 +27,16 @@
 	"auburnlatch/standin/freeport"
 )
 
-// errAway is what a platform that is away answers.
-var errAway = errors.New("the platform is away")
+// errUnavailable is the error of an unavailable platform.
+var errUnavailable = errors.New("the platform is away")
 
-// fakePlatform keeps rules and registrations in memory, as JSON of core's types.
+// fakePlatform stores rules and registrations in memory, as JSON of core's types.
 type fakePlatform struct {
-	mu      sync.Mutex
-	away    bool
-	version uint64
-	rows    map[string]map[string]replica.Row
-	vms     map[string]string
+	mu          sync.Mutex
+	unavailable bool
+	version     uint64
+	rows        map[string]map[string]replica.Row
+	vms         map[string]string
 	// placements are by region.
 	placements map[string][]byte
 	bans       map[poison.Print]poison.Ban
@@ -74,10 +74,10 @@
 	return p.version
 }
 
-func (p *fakePlatform) setAway(away bool) {
+func (p *fakePlatform) setUnavailable(away bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.away = away
+	p.unavailable = away
 }
 
 func (p *fakePlatform) Read(_ context.Context, table string) (replica.Delta, error) {
@@ -89,8 +89,8 @@
 func (p *fakePlatform) since(table string, after uint64) (replica.Delta, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.away {
-		return replica.Delta{}, errAway
+	if p.unavailable {
+		return replica.Delta{}, errUnavailable
 	}
 	d := replica.Delta{From: after, To: replica.Head{Table: table, Version: p.version}}
 	for _, r := range p.rows[table] {
@@ -146,8 +146,8 @@
 func (p *fakePlatform) Announce(_ context.Context, name, addr string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.away {
-		return errAway
+	if p.unavailable {
+		return errUnavailable
 	}
 	p.vms[name] = addr
 	return nil
@@ -163,8 +163,8 @@
 func (p *fakePlatform) VMs(context.Context) ([]string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.away {
-		return nil, errAway
+	if p.unavailable {
+		return nil, errUnavailable
 	}
 	var list []string
 	for _, addr := range p.vms {
@@ -176,8 +176,8 @@
 func (p *fakePlatform) KeepPlacements(_ context.Context, region string, data []byte) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.away {
-		return errAway
+	if p.unavailable {
+		return errUnavailable
 	}
 	p.placements[region] = data
 	return nil
@@ -186,8 +186,8 @@
 func (p *fakePlatform) Placements(_ context.Context, region string) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.away {
-		return nil, errAway
+	if p.unavailable {
+		return nil, errUnavailable
 	}
 	return p.placements[region], nil
 }
@@ -195,8 +195,8 @@
 func (p *fakePlatform) KeepBans(_ context.Context, bans []poison.Ban) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.away {
-		return errAway
+	if p.unavailable {
+		return errUnavailable
 	}
 	for _, b := range bans {
 		p.bans[b.Print] = b
@@ -207,8 +207,8 @@
 func (p *fakePlatform) Bans(context.Context) ([]poison.Ban, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.away {
-		return nil, errAway
+	if p.unavailable {
+		return nil, errUnavailable
 	}
 	return slices.Collect(maps.Values(p.bans)), nil
 }
@@ -222,7 +222,7 @@
 	return nil
 }
 
-// upstreamServer is an upstream that counts what it ran.
+// upstreamServer is an upstream that counts the requests it ran.
 type upstreamServer struct {
 	*httptest.Server
 	mu  sync.Mutex
@@ -268,7 +268,7 @@
 	done  chan error
 }
 
-// lockedBuffer keeps what a VM logs.
+// lockedBuffer stores a VM's log.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -309,7 +309,7 @@
 	return v
 }
 
-// startVMLogging is startVM with a log of one's own.
+// startVMLogging is startVM with a given log.
 func startVMLogging(t testing.TB, name string, p entry.Platform, change func(*settings.Entry), log *logrus.Logger) *runningVM {
 	t.Helper()
 	cfg := &settings.Entry{
@@ -346,8 +346,8 @@
 	t.Fatalf("not within 10 s: %s", what)
 }
 
-// config has an idempotent route /get/, one that is not, /post/, and one with a
-// home elsewhere, /home/.
+// config has an idempotent route /get/, a non-idempotent one /post/, and one with its home
+// in another region, /home/.
 func config(version uint64) *route.Config {
 	part := []route.Part{{Service: "s", Weight: 1}}
 	return &route.Config{
--- a/io/entry/fleet_bench_test.go
+++ b/io/entry/fleet_bench_test.go
@@ -15,9 +15,9 @@
 	"auburnlatch/standin/rusage"
 )
 
-// BenchmarkFleetAtRest runs a fleet without callers for some seconds, of which ten
-// upstreams a VM are registered and five change in each second. It reports the processor
-// time that a VM takes for what it tells and hears, worked out over the whole process.
+// BenchmarkFleetAtRest runs a fleet without callers for some seconds. Ten upstreams per VM
+// are registered, and five of them change in each second. It reports the processor time per
+// VM for sending and receiving updates, derived from that of the whole process.
 func BenchmarkFleetAtRest(b *testing.B) {
 	for _, n := range []int{30, 100, 300} {
 		b.Run(fmt.Sprint("VMs=", n), func(b *testing.B) { fleetAtRest(b, n) })
@@ -55,7 +55,7 @@
 		ready(b, v)
 		eventually(b, "the VMs know each other", func() bool { return v.Figures(time.Now()).LiveVMs == n })
 	}
-	// changes registers upstreams anew for a while.
+	// changes updates registrations of upstreams for span.
 	changes := func(every, span time.Duration) {
 		tick := time.NewTicker(every)
 		defer tick.Stop()
@@ -65,7 +65,7 @@
 		}
 	}
 	const every, settle, span = 200 * time.Millisecond, 4 * time.Second, 5 * time.Second
-	changes(every, settle) // What a VM does in its first seconds is not counted.
+	changes(every, settle) // A VM's first seconds are not counted.
 	before, from := processorTime(b), time.Now()
 	for b.Loop() {
 		changes(every, span)
--- a/io/entry/header_test.go
+++ b/io/entry/header_test.go
@@ -8,9 +8,9 @@
 	"auburnlatch/core/team"
 )
 
-// A caller says of itself which team it is, spelled in ways that some upstream may take for
-// the field that only the VM sets. None gets through, and the key goes no further.
-func TestSetTeamWhateverTheCallerSaid(t *testing.T) {
+// A caller sets the team's field itself, in spellings that some upstream may accept. None
+// may get through, and the key must not be forwarded.
+func TestSetTeamOverridesCaller(t *testing.T) {
 	table, err := route.NewTable(&route.Config{Teams: []*team.Team{{Name: "depot"}}})
 	if err != nil {
 		t.Fatal(err)
@@ -22,7 +22,7 @@
 		}
 		setTeam(h, "X-Team", table, tm)
 		if got := h.Get("X-Team"); got != name || h.Get("Authorization") != "" {
-			t.Errorf("team %q: told %q, key %q", name, got, h.Get("Authorization"))
+			t.Errorf("team %q: got %q, key %q", name, got, h.Get("Authorization"))
 		}
 		for _, field := range []string{"x-team", "X_Team", "x_TEAM"} {
 			if h[field] != nil {
--- a/io/entry/herd_test.go
+++ b/io/entry/herd_test.go
@@ -17,138 +17,140 @@
 )
 
 const (
-	// poisonPath is the path of the request that ends each upstream that begins to run it.
+	// poisonPath is the path of the request that crashes each upstream that runs it.
 	poisonPath = "/get/poison"
-	// poisonRuns is how long it runs before the upstream ends, and backAfter how long
-	// it takes until another incarnation is there.
-	poisonRuns = 30 * time.Millisecond
-	backAfter  = 300 * time.Millisecond
-	// tellWithin is the time after the third end in which all VMs must know.
-	tellWithin = time.Second
-	// sentAfterwards is how often the request may still be sent once they must.
-	sentAfterwards = 3
-	// innocentWork is how long other requests take.
-	innocentWork = 60 * time.Millisecond
+	// poisonRuns is how long it runs before the upstream crashes, and restartAfter how long
+	// it takes until another incarnation is up.
+	poisonRuns   = 30 * time.Millisecond
+	restartAfter = 300 * time.Millisecond
+	// knownWithin is the time after the third crash in which all VMs must know.
+	knownWithin = time.Second
+	// maxSentAfterwards is how often the request may still be sent after that time.
+	maxSentAfterwards = 3
+	// otherDuration is how long other requests take.
+	otherDuration = 60 * time.Millisecond
 )
 
-// herd is the upstreams of a service, which a request may end.
-type herd struct {
+// crashFleet is the upstreams of a service, which a poison request may crash.
+type crashFleet struct {
 	t *testing.T
 	p *fakePlatform
-	// silent upstreams end as a host does that loses power: no connection ends, and
-	// another incarnation is there later at the same address.
+	// silent upstreams crash as if their host lost power: no connection is closed, and
+	// another incarnation is up later at the same address.
 	silent bool
-	// answerEvery says that each so-manyth run is answered in the moment in which its
-	// upstream ends; 0: none.
+	// answerEvery makes each answerEvery-th run respond just before its upstream
+	// crashes; 0 means none.
 	answerEvery int
 
-	mu     sync.Mutex
-	served int         // Upstreams started so far.
-	began  []time.Time // When the poison request reached an upstream.
-	ended  []time.Time // When one ended under it.
+	mu       sync.Mutex
+	started  int         // Upstreams started so far.
+	arrivals []time.Time // When the poison request reached an upstream.
+	crashed  []time.Time // When an upstream crashed under it.
 }
 
-func startHerd(t *testing.T, p *fakePlatform, n int) *herd {
-	h := &herd{t: t, p: p}
+func startCrashFleet(t *testing.T, p *fakePlatform, n int) *crashFleet {
+	f := &crashFleet{t: t, p: p}
 	for range n {
-		h.start()
+		f.start()
 	}
-	return h
+	return f
 }
 
 // start starts one incarnation.
-func (h *herd) start() {
-	h.mu.Lock()
-	h.served++
-	id := fmt.Sprint("i-", h.served)
-	h.mu.Unlock()
-	m := &herdMember{herd: h, id: id}
+func (f *crashFleet) start() {
+	f.mu.Lock()
+	f.started++
+	id := fmt.Sprint("i-", f.started)
+	f.mu.Unlock()
+	u := &crashingUpstream{fleet: f, id: id}
 	a := &address{}
-	a.now.Store(m)
-	m.server = httptest.NewServer(a)
-	h.t.Cleanup(func() { m.server.CloseClientConnections(); m.server.Close() })
-	h.p.set(entry.TableTargets, id, target.Registration{Service: "s", Addr: strings.TrimPrefix(m.server.URL, "http://"), Zone: "z", Slots: 4})
-}
-
-// reached returns how often the poison request reached an upstream, how many ended, and
-// when the third did.
-func (h *herd) reached() (began []time.Time, ended int, third time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if len(h.ended) > 2 {
-		third = h.ended[2]
+	a.now.Store(u)
+	u.server = httptest.NewServer(a)
+	f.t.Cleanup(func() { u.server.CloseClientConnections(); u.server.Close() })
+	f.p.set(entry.TableTargets, id, target.Registration{Service: "s", Addr: strings.TrimPrefix(u.server.URL, "http://"), Zone: "z", Slots: 4})
+}
+
+// reached returns when the poison request reached upstreams, how many crashed, and when
+// the third did.
+func (f *crashFleet) reached() (sent []time.Time, crashed int, third time.Time) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if len(f.crashed) > 2 {
+		third = f.crashed[2]
 	}
-	return h.began, len(h.ended), third
+	return f.arrivals, len(f.crashed), third
 }
 
-// address is where incarnations listen, one after the other.
-type address struct{ now atomic.Pointer[herdMember] }
+// address is a listener used by several incarnations, one after the other.
+type address struct {
+	now atomic.Pointer[crashingUpstream]
+}
 
 // ServeHTTP implements http.Handler.
 func (a *address) ServeHTTP(w http.ResponseWriter, r *http.Request) { a.now.Load().ServeHTTP(w, r) }
 
-// herdMember is one incarnation.
-type herdMember struct {
-	herd   *herd
+// crashingUpstream is one incarnation.
+type crashingUpstream struct {
+	fleet  *crashFleet
 	id     string
 	server *httptest.Server
 	once   sync.Once
 }
 
 // ServeHTTP implements http.Handler.
-func (m *herdMember) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (u *crashingUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
 	if r.URL.Path != poisonPath {
-		<-time.After(innocentWork)
-		fmt.Fprint(w, m.id)
+		<-time.After(otherDuration)
+		fmt.Fprint(w, u.id)
 		return
 	}
-	m.herd.mu.Lock()
-	m.herd.began = append(m.herd.began, time.Now())
-	n := len(m.herd.began)
-	m.herd.mu.Unlock()
+	u.fleet.mu.Lock()
+	u.fleet.arrivals = append(u.fleet.arrivals, time.Now())
+	n := len(u.fleet.arrivals)
+	u.fleet.mu.Unlock()
 	<-time.After(poisonRuns)
-	if m.herd.answerEvery > 0 && n%m.herd.answerEvery == 0 {
+	if u.fleet.answerEvery > 0 && n%u.fleet.answerEvery == 0 {
 		w.Header().Set("Content-Length", "0")
 		w.WriteHeader(http.StatusOK)
 		_ = http.NewResponseController(w).Flush()
 	}
-	if m.herd.silent {
-		m.once.Do(m.fallSilent)
+	if u.fleet.silent {
+		u.once.Do(u.fallSilent)
 		<-r.Context().Done()
 		return
 	}
-	m.once.Do(m.end)
-}
-
-// fallSilent has the incarnation answer nothing more, and another take its address.
-func (m *herdMember) fallSilent() {
-	h := m.herd
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.ended = append(h.ended, time.Now())
-	h.served++
-	next := &herdMember{herd: h, id: fmt.Sprint("i-", h.served), server: m.server}
-	time.AfterFunc(backAfter, func() {
-		m.server.Config.Handler.(*address).now.Store(next)
-		h.p.set(entry.TableTargets, next.id, target.Registration{Service: "s", Addr: strings.TrimPrefix(m.server.URL, "http://"), Zone: "z", Slots: 4})
-		h.p.remove(entry.TableTargets, m.id)
+	u.once.Do(u.crash)
+}
+
+// fallSilent stops the incarnation's responses, and lets another take its address.
+func (u *crashingUpstream) fallSilent() {
+	f := u.fleet
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.crashed = append(f.crashed, time.Now())
+	f.started++
+	next := &crashingUpstream{fleet: f, id: fmt.Sprint("i-", f.started), server: u.server}
+	time.AfterFunc(restartAfter, func() {
+		u.server.Config.Handler.(*address).now.Store(next)
+		f.p.set(entry.TableTargets, next.id, target.Registration{Service: "s", Addr: strings.TrimPrefix(u.server.URL, "http://"), Zone: "z", Slots: 4})
+		f.p.remove(entry.TableTargets, u.id)
 	})
 }
 
-// end ends the incarnation as a process ends: nobody listens, all connections are
-// reset, and its registration lapses later. Another comes in its place.
-func (m *herdMember) end() {
-	m.herd.mu.Lock()
-	m.herd.ended = append(m.herd.ended, time.Now())
-	m.herd.mu.Unlock()
-	m.server.Listener.Close()
-	m.server.CloseClientConnections()
-	time.AfterFunc(backAfter, m.herd.start)
-	time.AfterFunc(2*backAfter, func() { m.herd.p.remove(entry.TableTargets, m.id) })
+// crash ends the incarnation like a process: its listener is closed, all connections are
+// reset, and its registration lapses later. Another one replaces it.
+func (u *crashingUpstream) crash() {
+	u.fleet.mu.Lock()
+	u.fleet.crashed = append(u.fleet.crashed, time.Now())
+	u.fleet.mu.Unlock()
+	u.server.Listener.Close()
+	u.server.CloseClientConnections()
+	time.AfterFunc(restartAfter, u.fleet.start)
+	time.AfterFunc(2*restartAfter, func() { u.fleet.p.remove(entry.TableTargets, u.id) })
 }
 
-// ask sends a request of one caller under an ID, and returns what came of it.
+// ask sends a request of one caller with an ID, and returns the result.
 func (v *runningVM) ask(path, id string) reply {
 	req, err := http.NewRequest(http.MethodGet, "http://"+v.cfg.FrontAddr+path, nil)
 	if err != nil {
@@ -166,8 +168,8 @@
 	return reply{status: resp.StatusCode, header: resp.Header}
 }
 
-// storm sends the poison request to the VMs in turn, under new IDs, for a while.
-func storm(vms []*runningVM, from int, d time.Duration) {
+// floodPoison sends the poison request to the VMs in turn, with new IDs, for a duration.
+func floodPoison(vms []*runningVM, from int, d time.Duration) {
 	var wg sync.WaitGroup
 	for i, end := from, time.Now().Add(d); time.Now().Before(end); i++ {
 		wg.Go(func() { vms[i%len(vms)].ask(poisonPath, fmt.Sprint("poison", i)) })
@@ -176,7 +178,7 @@
 	wg.Wait()
 }
 
-// served reports whether a caller is served that comes again as it is told.
+// served reports whether a request is served if its caller retries as it is told to.
 func (v *runningVM) served(path, id string) bool {
 	for try := range 20 {
 		r := v.ask(path, fmt.Sprint(id, "-", try))
@@ -192,30 +194,30 @@
 	return false
 }
 
-// mustStop fails where the poison request was sent on for too long.
-func (h *herd) mustStop(what string) {
-	h.t.Helper()
-	began, ended, third := h.reached()
-	if ended < 3 {
+// requireStopped fails if the poison request was sent on for too long.
+func (f *crashFleet) requireStopped(what string) {
+	f.t.Helper()
+	sent, crashed, third := f.reached()
+	if crashed < 3 {
 		return
 	}
 	late := 0
-	for _, at := range began {
-		if at.After(third.Add(tellWithin)) {
+	for _, at := range sent {
+		if at.After(third.Add(knownWithin)) {
 			late++
 		}
 	}
-	h.t.Logf("%s: reached upstreams %d times, %d later than %v after the third end; %d ended", what, len(began), late, tellWithin, ended)
-	if late > sentAfterwards {
-		h.t.Errorf("%s: sent to upstreams %d times later than %v after the third had ended, %d ended in all", what, late, tellWithin, ended)
+	f.t.Logf("%s: reached upstreams %d times, %d later than %v after the third crash; %d crashed", what, len(sent), late, knownWithin, crashed)
+	if late > maxSentAfterwards {
+		f.t.Errorf("%s: sent to upstreams %d times later than %v after the third crash, %d crashed in all", what, late, knownWithin, crashed)
 	}
 }
 
-// mustHaveEnded ends a test that says nothing, as too few upstreams ended under the request.
-func (h *herd) mustHaveEnded() {
-	h.t.Helper()
-	if _, ended, _ := h.reached(); ended < 3 {
-		h.t.Fatalf("%d upstreams ended under the request, so this test says nothing", ended)
+// requireCrashes aborts a test that is inconclusive, as too few upstreams crashed.
+func (f *crashFleet) requireCrashes() {
+	f.t.Helper()
+	if _, crashed, _ := f.reached(); crashed < 3 {
+		f.t.Fatalf("%d upstreams crashed under the request, so this test is inconclusive", crashed)
 	}
 }
 
--- a/io/entry/idle.go
+++ b/io/entry/idle.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// idleConns are the callers' connections that carry no request. The limit on
-// how long they may stay idle is part of the rules and changes with them, which
-// the server's own timeout cannot. The zero value is ready.
+// idleConns are the callers' connections without a request. The limit on their idle time
+// is part of the rules and changes with them, which the http.Server's own timeout cannot.
+// The zero value is ready to use.
 type idleConns struct {
-	mu    sync.Mutex
-	since map[*callerConn]time.Time
-	open  int
-	all   bool // All connections end as soon as they are idle.
+	mu            sync.Mutex
+	since         map[*callerConn]time.Time
+	open          int
+	closeWhenIdle bool // All connections are closed as soon as they are idle.
 }
 
 // note implements the ConnState hook of http.Server.
@@ -34,7 +34,7 @@
 		c.since[cc] = time.Now()
 	case http.StateIdle:
 		c.since[cc] = time.Now()
-		if c.all {
+		if c.closeWhenIdle {
 			cc.expire()
 		}
 	case http.StateActive:
@@ -45,7 +45,7 @@
 	}
 }
 
-// closeOlder closes connections that have been idle for longer.
+// closeOlder closes connections that have been idle for longer than a duration.
 func (c *idleConns) closeOlder(now time.Time, than time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,13 +60,13 @@
 func (c *idleConns) closeAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.all = true
+	c.closeWhenIdle = true
 	for conn := range c.since {
 		conn.expire()
 	}
 }
 
-// count returns how many connections are open.
+// count returns the number of open connections.
 func (c *idleConns) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/io/entry/idle_test.go
+++ b/io/entry/idle_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// racingConn is a connection on which a request arrives at the very moment at
-// which idle connections are closed.
+// racingConn is a connection on which a request arrives while idle connections are being
+// closed.
 type racingConn struct {
 	net.Conn
 	meanwhile func()
@@ -31,11 +31,10 @@
 	return nil
 }
 
-// A VM stops. A request has just been read from a connection that still counts as
-// idle when idle connections are closed. Were it closed, the caller of a booking
-// would get no answer to a request that the process has read, and could not tell
-// whether it ran.
-func TestRequestThatCrossesTheCloseGoesOn(t *testing.T) {
+// A VM stops. A request has just been read from a connection that still counts as idle when
+// idle connections are closed. The connection must stay open: the caller of a request that
+// is not idempotent would get no response and could not tell whether it ran.
+func TestRequestDuringIdleCloseIsServed(t *testing.T) {
 	var conns idleConns
 	raw := &racingConn{meanwhile: conns.closeAll}
 	c := &callerConn{Conn: raw}
--- a/io/entry/leave.go
+++ b/io/entry/leave.go
@@ -10,54 +10,54 @@
 )
 
 const (
-	// leaveServing is the part of the grace time in which a VM that leaves still
-	// takes new requests: callers may know it from look-ups they have cached.
-	leaveServing = 0.48
-	// maxLeaveServing bounds that time. Who sends later than three seconds after the
-	// stop is held to know of it; a request taken then and cut at the end is lost.
-	maxLeaveServing = 2900 * time.Millisecond
-	// leaveMargin is left of the grace time at the end, for the exit itself, but no
-	// more than marginShare of it.
-	leaveMargin = 400 * time.Millisecond
-	marginShare = 0.08
-	// leaveAnswering is the time before that in which requests that are still under
-	// way get a final answer. Cut instead, their callers could not tell, and answers
-	// that are ready behind them on their connections would be lost.
-	leaveAnswering = 200 * time.Millisecond
-	// leaveWorking is the part of the grace time that requests under way are given
-	// at least.
-	leaveWorking = 0.85
-	// leaveTick is how often the connections that are left are counted.
-	leaveTick = 20 * time.Millisecond
-	// leavePartners is how many VMs are told at once.
-	leavePartners = 3
+	// servingFraction is the fraction of the grace time in which a leaving VM still takes
+	// new requests, as callers may know it from cached look-ups.
+	servingFraction = 0.48
+	// maxServing bounds that time. A caller that sends more than three seconds after the
+	// stop is expected to know of it; a request taken then and cut at the end is lost.
+	maxServing = 2900 * time.Millisecond
+	// exitMargin is left of the grace time for the exit itself, but no more than
+	// exitMarginFraction of the grace time.
+	exitMargin         = 400 * time.Millisecond
+	exitMarginFraction = 0.08
+	// answerMargin is the time before that in which requests still in flight get a final
+	// response. If they were cut instead, their callers could not tell whether they ran,
+	// and pipelined responses behind them on their connections would be lost.
+	answerMargin = 200 * time.Millisecond
+	// minWorkFraction is the least fraction of the grace time that requests in flight
+	// are given.
+	minWorkFraction = 0.85
+	// drainTick is how often the remaining connections are counted.
+	drainTick = 20 * time.Millisecond
+	// leaveFanout is how many VMs are notified at once.
+	leaveFanout = 3
 )
 
-// leave serves those who still know the VM, finishes what is in flight and
+// leave serves callers that still know the VM, completes the requests in flight and
 // closes. It takes less than the grace time, after which the platform kills the
-// process and cuts what is left.
+// process and cuts the remaining connections.
 func (v *VM) leave(front net.Listener, servers []*http.Server) {
 	grace := v.cfg.Load().StopGrace
 	started := time.Now()
 	v.leaving.Store(true)
 	v.log.WithField("InFlight", v.inFlight.Load()).Info("VMLeaving")
-	margin := min(leaveMargin, lifecycle.Share(grace, marginShare))
+	margin := min(exitMargin, lifecycle.Share(grace, exitMarginFraction))
 	ctx, cancel := context.WithTimeout(context.Background(), grace-margin)
 	defer cancel()
 	v.publish(started)
-	v.startExchanges(ctx, v.partners(started), leavePartners, v.members)
+	v.startExchanges(ctx, v.partners(started), leaveFanout, v.members)
 	withdrawn := make(chan struct{})
 	w := &withdrawal{vm: v, done: withdrawn}
 	go w.run(ctx)
-	lifecycle.Pause(ctx, min(maxLeaveServing, lifecycle.Share(grace, leaveServing)))
-	// The callers' server is not shut down by the library, which closes idle
-	// connections while a request may be arriving on them.
+	lifecycle.Pause(ctx, min(maxServing, lifecycle.Share(grace, servingFraction)))
+	// The callers' server is not stopped with Shutdown, which closes idle connections
+	// while a request may be arriving on them.
 	front.Close()
 	v.idle.closeAll()
-	working := max(lifecycle.Share(grace, leaveWorking), grace-margin-leaveAnswering)
-	last := time.AfterFunc(time.Until(started.Add(working)), v.giveUp)
+	working := max(lifecycle.Share(grace, minWorkFraction), grace-margin-answerMargin)
+	last := time.AfterFunc(time.Until(started.Add(working)), v.cancelWork)
 	defer last.Stop()
-	for v.idle.count() > 0 && lifecycle.Pause(ctx, leaveTick) {
+	for v.idle.count() > 0 && lifecycle.Pause(ctx, drainTick) {
 	}
 	v.log.WithField("Connections", v.idle.count()).Info("FrontClosed")
 	for _, srv := range servers {
@@ -66,13 +66,13 @@
 	<-withdrawn
 }
 
-// withdrawal takes the VM's registered address back.
+// withdrawal removes the VM's registered address.
 type withdrawal struct {
 	vm   *VM
 	done chan struct{}
 }
 
-// run withdraws once. An address that stays is only tried in vain.
+// run tries once. If the address stays registered, other VMs only try it in vain.
 func (w *withdrawal) run(ctx context.Context) {
 	defer close(w.done)
 	if !w.vm.announced.Load() {
--- a/io/entry/leaving_test.go
+++ b/io/entry/leaving_test.go
@@ -11,17 +11,17 @@
 	"auburnlatch/io/entry"
 )
 
-// leavingUpstream says in each answer that it leaves, once it is told to.
+// leavingUpstream sets Leaving in each response once leave was called.
 type leavingUpstream struct {
 	*upstreamServer
-	mu      sync.Mutex
-	leaving bool
-	told    map[string]time.Time // By VM, when it was first answered so.
-	late    []string             // Requests after LeaveWithin.
+	mu       sync.Mutex
+	leaving  bool
+	notified map[string]time.Time // By VM, the time of its first response with Leaving.
+	late     []string             // Requests after LeaveWithin.
 }
 
 func startLeaving(t *testing.T, within time.Duration) *leavingUpstream {
-	u := &leavingUpstream{told: make(map[string]time.Time)}
+	u := &leavingUpstream{notified: make(map[string]time.Time)}
 	u.upstreamServer = startUpstream(t, func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("Request-Id")
 		vm, _, _ := strings.Cut(id, "/")
@@ -30,11 +30,11 @@
 		if !u.leaving {
 			return
 		}
-		if told := u.told[vm]; !told.IsZero() && time.Since(told) > within {
+		if first := u.notified[vm]; !first.IsZero() && time.Since(first) > within {
 			u.late = append(u.late, id)
 		}
-		if u.told[vm].IsZero() {
-			u.told[vm] = time.Now()
+		if u.notified[vm].IsZero() {
+			u.notified[vm] = time.Now()
 		}
 		w.Header().Set("Leaving", "1")
 	})
@@ -47,14 +47,14 @@
 	u.leaving = true
 }
 
-func (u *leavingUpstream) seen() (told int, late []string) {
+func (u *leavingUpstream) seen() (notified int, late []string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return len(u.told), u.late
+	return len(u.notified), u.late
 }
 
-// Guards against requests to an upstream whose answers say that it leaves, the register being silent.
-func TestUpstreamThatSaysItLeavesGetsNothing(t *testing.T) {
+// Guards against requests to an upstream whose responses say that it is leaving while the registry does not.
+func TestNoRequestsAfterLeavingHeader(t *testing.T) {
 	p := newPlatform()
 	p.set(entry.TableRules, "config", config(1))
 	const within = 2 * time.Second
@@ -65,14 +65,14 @@
 	vms, stop := callTwoVMs(t, p)
 	defer stop()
 	<-time.After(300 * time.Millisecond)
-	p.setAway(true)
+	p.setUnavailable(true)
 	u.leave()
-	eventually(t, "a VM is told", func() bool { told, _ := u.seen(); return told > 0 })
+	eventually(t, "a VM is notified", func() bool { told, _ := u.seen(); return told > 0 })
 	<-time.After(within + time.Second)
 	if _, late := u.seen(); len(late) > 0 {
-		t.Errorf("%d requests later than %v after the upstream had said that it leaves, the first %s", len(late), within, late[0])
+		t.Errorf("%d requests later than %v after the upstream had set Leaving, the first %s", len(late), within, late[0])
 	}
-	p.setAway(false)
+	p.setUnavailable(false)
 	p.remove(entry.TableTargets, "leaves")
 	<-time.After(500 * time.Millisecond)
 	p.set(entry.TableTargets, "leaves", target.Registration{Service: "s", Addr: u.addr(), Zone: "z", Slots: 8})
--- a/io/entry/limits.go
+++ b/io/entry/limits.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	// demandEvery is how often a VM tells what teams ask of it.
-	demandEvery = 500 * time.Millisecond
-	// demandAtStart is the same while it has just started: until it has heard totals it
-	// has an equal part of each limit only.
-	demandAtStart = 100 * time.Millisecond
-	// collectors is how many VMs are told the demand. The second answers once the first
-	// has not for secondAfter.
+	// demandInterval is how often a VM reports its teams' demand.
+	demandInterval = 500 * time.Millisecond
+	// startDemandInterval is the interval while the VM has just started: until it has
+	// received totals it has only an equal share of each limit.
+	startDemandInterval = 100 * time.Millisecond
+	// collectors is how many VMs the demand is reported to. The second one replies if the
+	// first has not for secondAfter.
 	collectors  = 2
 	secondAfter = 1200 * time.Millisecond
-	// collectAfter is how long a VM that has started is told before it answers: three
-	// tellings of VMs that have just started too. Those that have not are not heard by
-	// then, and have their equal parts kept back.
+	// collectAfter is how long a VM that has started collects reports before it replies:
+	// three reports of VMs that have just started too. Older VMs have not reported by then,
+	// and their equal shares are reserved.
 	collectAfter = 300 * time.Millisecond
-	// leastUsed is how many VMs a VM takes callers to use that has just started and has not
-	// heard of all.
-	leastUsed = 12
+	// minActive is the least number of VMs with callers that a VM assumes when it has just
+	// started and does not know all others.
+	minActive = 12
 )
 
-// limitTeller tells what teams ask of this VM and hears what they ask of all.
-type limitTeller struct {
+// demandPublisher reports teams' demand at this VM and receives the total over all VMs.
+type demandPublisher struct {
 	vm   *VM
 	peer *peer.Datagrams
 }
 
-// loop tells until ctx ends.
-func (t *limitTeller) loop(ctx context.Context) {
+// loop publishes until ctx ends.
+func (p *demandPublisher) loop(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := time.Now()
-		t.look(now)
-		wait := demandEvery
-		if now.Sub(t.vm.started) < joinHold {
-			wait = demandAtStart
+		p.publish(now)
+		wait := demandInterval
+		if now.Sub(p.vm.started) < joinHold {
+			wait = startDemandInterval
 		}
 		if !lifecycle.Pause(ctx, wait) {
 			return
@@ -50,45 +50,45 @@
 	}
 }
 
-// look tells the collectors, where a team has a limit.
-func (t *limitTeller) look(now time.Time) {
-	v := t.vm
+// publish reports the demand to the collectors if a team has a limit.
+func (p *demandPublisher) publish(now time.Time) {
+	v := p.vm
 	table := v.table.Load()
 	if table == nil || table.Teams == nil {
 		return
 	}
-	used := v.usedAddrs(now)
-	n := len(used)
+	active := v.findActiveAddrs(now)
+	n := len(active)
 	if now.Sub(v.started) < joinHold {
-		n = max(n, leastUsed)
+		n = max(n, minActive)
 	}
 	v.limits.SetVMs(n)
-	v.used.Store(&used)
+	v.activeAddrs.Store(&active)
 	demand := v.limits.Demand(now)
 	for i, name := range dispatch.First("limits", v.members.Live(now), collectors) {
 		ask := i == 0 || v.limits.Age(now) > secondAfter
 		if name == v.cfg.Load().Name {
-			t.tellSelf(now, demand, ask)
+			p.recordOwn(now, demand, ask)
 		} else if m, ok := v.members.FindPeer(now, name); ok {
-			t.peer.TellDemand(m.VM.Address.Peer, demand, ask)
+			p.peer.TellDemand(m.VM.Address.Peer, demand, ask)
 		}
 	}
 }
 
-// tellSelf is telling a collector where that is this VM.
-func (t *limitTeller) tellSelf(now time.Time, demand []ratelimit.Demand, ask bool) {
-	total, ok := limitTable{t.vm}.Told(now, t.vm.cfg.Load().PeerAddr, demand, true)
+// recordOwn records the demand if this VM is a collector.
+func (p *demandPublisher) recordOwn(now time.Time, demand []ratelimit.Demand, ask bool) {
+	total, ok := limitTable{p.vm}.Told(now, p.vm.cfg.Load().PeerAddr, demand, true)
 	if ok && ask {
-		limitTable{t.vm}.Heard(now, total)
+		limitTable{p.vm}.Heard(now, total)
 	}
 }
 
-// usedAddrs are the addresses of the VMs that callers use, by which datagrams tell who they
-// are from.
-func (v *VM) usedAddrs(now time.Time) []string {
+// findActiveAddrs returns the peer addresses of the active VMs, as datagrams identify their
+// senders by them.
+func (v *VM) findActiveAddrs(now time.Time) []string {
 	cfg := v.cfg.Load()
 	var addrs []string
-	for _, vm := range v.sending(now).vms {
+	for _, vm := range v.active(now).vms {
 		if vm.Name == cfg.Name {
 			addrs = append(addrs, cfg.PeerAddr)
 		} else if m, ok := v.members.FindPeer(now, vm.Name); ok {
@@ -98,19 +98,19 @@
 	return addrs
 }
 
-// limitTable is what datagrams about limits are taken by.
+// limitTable handles datagrams about limits.
 type limitTable struct{ *VM }
 
 // Knows implements peer.LimitTable.
 func (l limitTable) Knows(now time.Time, addr string) bool {
-	return l.used.Load() != nil && l.isMate(now, addr)
+	return l.activeAddrs.Load() != nil && l.isPeer(now, addr)
 }
 
-// Told implements peer.LimitTable. A VM that has just started, or has not heard of any
-// other yet, cannot tell totals.
+// Told implements peer.LimitTable. A VM that has just started, or does not know of any
+// other yet, cannot return totals.
 func (l limitTable) Told(now time.Time, addr string, list []ratelimit.Demand, first bool) (ratelimit.Total, bool) {
-	table, used := l.table.Load(), l.used.Load()
-	if table == nil || used == nil {
+	table, active := l.table.Load(), l.activeAddrs.Load()
+	if table == nil || active == nil {
 		return ratelimit.Total{}, false
 	}
 	l.collector.Record(now, addr, list, first)
@@ -119,7 +119,7 @@
 		return ratelimit.Total{}, false
 	}
 	l.collector.RefreshHot(now, table.Teams.Teams(), l.limits.Hot)
-	return l.collector.Total(now, list, *used), true
+	return l.collector.Total(now, list, *active), true
 }
 
 // Heard implements peer.LimitTable.
--- a/io/entry/limits_bench_test.go
+++ b/io/entry/limits_bench_test.go
@@ -12,10 +12,10 @@
 	"auburnlatch/io/settings"
 )
 
-// BenchmarkTold is one telling of 77 teams' demand, of 300 VMs, with its answer. A collector
-// gets two a second of each VM.
+// BenchmarkTold measures one report of 77 teams' demand among 300 VMs, with its reply. A
+// collector gets two per second from each VM.
 func BenchmarkTold(b *testing.B) {
-	v, now := vmAmong(33, func(vm *member.VM) { vm.Traffic = member.Traffic{Requests: 20, Bytes: 1e5} })
+	v, now := newVMAmong(33, func(vm *member.VM) { vm.Traffic = member.Traffic{Requests: 20, Bytes: 1e5} })
 	cfg := &route.Config{}
 	var list []ratelimit.Demand
 	for i := range 77 {
@@ -29,8 +29,8 @@
 	}
 	v.table.Store(table)
 	v.Configure(&settings.Entry{Name: "self", Zone: "z0", Region: "r0", Regions: v.cfg.Load().Regions, Limits: ratelimit.Bounds{Window: 5 * time.Second}})
-	used := v.usedAddrs(now)
-	v.used.Store(&used)
+	used := v.findActiveAddrs(now)
+	v.activeAddrs.Store(&used)
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
--- a/io/entry/log.go
+++ b/io/entry/log.go
@@ -12,13 +12,13 @@
 	"auburnlatch/io/lifecycle"
 )
 
-// How many lines about requests a VM writes a second at most. Those about
-// requests that were given up on have a budget of their own, so that a flood of
-// answers cannot push them out. At 300 bytes a line both are 45 KB/s, and at 7 us
-// a line 0.11 % of a core. What exceeds a budget is counted and told in one line.
+// How many lines about requests a VM writes a second at most. Lines about requests
+// without a response have a budget of their own, so that many responses cannot use it up.
+// At 300 bytes a line both budgets are 45 KB/s, and at 7 us a line 0.11 % of a core.
+// Lines beyond a budget are counted and reported in one line.
 const (
-	failureLines = 50
-	servedLines  = 100
+	maxFailureLines = 50
+	maxServedLines  = 100
 )
 
 // requestLog writes one line for each decision about a request.
@@ -28,7 +28,7 @@
 	served   lineBudget
 }
 
-// lineBudget is what is left of a second's lines.
+// lineBudget is the rest of a second's budget of lines.
 type lineBudget struct {
 	left    atomic.Int64
 	dropped atomic.Int64
@@ -45,8 +45,8 @@
 // loop renews the budgets each second.
 func (l *requestLog) loop(ctx context.Context) {
 	lifecycle.Every(ctx, time.Second, func(time.Time) {
-		l.failures.left.Store(failureLines)
-		l.served.left.Store(servedLines)
+		l.failures.left.Store(maxFailureLines)
+		l.served.left.Store(maxServedLines)
 		failures, served := l.failures.dropped.Swap(0), l.served.dropped.Swap(0)
 		if failures+served > 0 {
 			l.log.WithFields(logrus.Fields{"Failures": failures, "Served": served}).Warn("LinesDropped")
@@ -54,32 +54,32 @@
 	})
 }
 
-// done logs a request that was answered by an upstream.
-func (l *requestLog) done(v *VM, res result) {
+// answered logs a request that an upstream answered.
+func (l *requestLog) answered(v *VM, res result) {
 	if !l.served.take() {
 		return
 	}
-	now, req, a := time.Now(), res.request, res.answer
-	f := v.circumstances(now, req)
-	f["Target"], f["TargetZone"], f["Status"] = a.lease.Target.ID, a.lease.Target.Zone, a.resp.StatusCode
-	f["Owner"], f["Ahead"], f["Slots"] = a.lease.Owner, int(a.lease.Ahead), a.lease.Target.Slots
-	if a.lease.RTT > 0 {
-		f["TripMs"] = a.lease.RTT.Milliseconds()
+	now, req, resp := time.Now(), res.request, res.response
+	f := v.requestFields(now, req)
+	f["Target"], f["TargetZone"], f["Status"] = resp.lease.Target.ID, resp.lease.Target.Zone, resp.resp.StatusCode
+	f["Owner"], f["Ahead"], f["Slots"] = resp.lease.Owner, int(resp.lease.Ahead), resp.lease.Target.Slots
+	if resp.lease.RTT > 0 {
+		f["TripMs"] = resp.lease.RTT.Milliseconds()
 	}
-	f["Tries"], f["TookMs"] = a.tries, now.Sub(req.started).Milliseconds()
+	f["Tries"], f["TookMs"] = resp.tries, now.Sub(req.started).Milliseconds()
 	if behind := now.Sub(res.readyAt); behind >= time.Millisecond {
-		f["BehindMs"] = behind.Milliseconds() // It was ready before its turn.
+		f["BehindMs"] = behind.Milliseconds() // The response was ready before its turn.
 	}
 	l.log.WithFields(f).Info("RequestAnswered")
 }
 
-// refused logs a request that was given up on, with what the VM knew.
+// refused logs a request without a response, with the state it was refused by.
 func (l *requestLog) refused(v *VM, req *request, e *verdict.Error, code int) {
 	if !l.failures.take() {
 		return
 	}
 	now := time.Now()
-	f := v.circumstances(now, req)
+	f := v.requestFields(now, req)
 	f["Verdict"], f["Reason"], f["Status"] = e.Verdict, e.Reason, code
 	f["TookMs"] = now.Sub(req.started).Milliseconds()
 	if e.RetryAfter > 0 {
@@ -111,13 +111,13 @@
 	l.log.WithFields(f).Info("RequestGivenUp")
 }
 
-// tried logs that one upstream did not serve a request.
-func (l *requestLog) tried(v *VM, req *request, lease balance.Lease, code int, e *verdict.Error) {
+// attemptFailed logs that one upstream did not serve a request.
+func (l *requestLog) attemptFailed(v *VM, req *request, lease balance.Lease, code int, e *verdict.Error) {
 	if !l.failures.take() {
 		return
 	}
 	now := time.Now()
-	f := v.circumstances(now, req)
+	f := v.requestFields(now, req)
 	f["Target"], f["Addr"], f["TargetZone"] = lease.Target.ID, lease.Target.Addr, lease.Target.Zone
 	f["Verdict"], f["Reason"], f["Status"] = e.Verdict, e.Reason, code
 	if e.Verdict != verdict.NotRun {
@@ -130,9 +130,9 @@
 	l.log.WithFields(f).Info("UpstreamFailed")
 }
 
-// circumstances returns the fields that tell which request it is and how old was what
-// the VM decided by.
-func (v *VM) circumstances(now time.Time, req *request) logrus.Fields {
+// requestFields returns the fields that identify a request, and the age of the state the
+// VM used for its decision.
+func (v *VM) requestFields(now time.Time, req *request) logrus.Fields {
 	f := logrus.Fields{
 		"Request": req.id, "Host": req.http.Host, "Path": req.http.URL.Path,
 		"RulesAgeMs":   v.replicas[TableRules].Head(now).Age.Milliseconds(),
--- a/io/entry/log_reader_test.go
+++ b/io/entry/log_reader_test.go
@@ -12,19 +12,19 @@
 	"auburnlatch/io/logline"
 )
 
-// stuckReader is where lines go that nobody reads.
+// stuckReader is a log output that nobody reads.
 type stuckReader struct{ read chan struct{} }
 
-// Write blocks until the reader goes on.
+// Write blocks until the test ends.
 func (s *stuckReader) Write(p []byte) (int, error) {
 	<-s.read
 	return len(p), nil
 }
 
-// The process that reads the VM's standard output is stuck, as behind a full disk,
-// and a write of a line never returns. Callers go on. If requests waited for their
-// lines, the VM would stop answering for the sake of its logs.
-func TestRequestsDoNotWaitForTheReaderOfLogs(t *testing.T) {
+// The process that reads the VM's standard output hangs, as with a full disk, and a write of
+// a line never returns. Requests must not wait for their lines, or the VM would stop
+// responding because of its logs.
+func TestRequestsDoNotWaitForLogWriter(t *testing.T) {
 	stuck := &stuckReader{make(chan struct{})}
 	out := logline.NewWriter(stuck)
 	t.Cleanup(func() { close(stuck.read) })
@@ -41,7 +41,7 @@
 	dropped := out.Dropped()
 	const requests = 1000
 	for i := range requests {
-		// Half of them are given up on, whose lines have a budget of their own.
+		// Half of them fail, and their lines have a budget of their own.
 		path, want := "/get/1", http.StatusOK
 		if i%2 == 0 {
 			path, want = "/nowhere", http.StatusNotFound
@@ -53,7 +53,7 @@
 		}
 	}
 	if out.Dropped() == dropped {
-		t.Error("no line was dropped, so none would have had to wait")
+		t.Error("no line was dropped, so the test is inconclusive")
 	}
 }
 
@@ -64,8 +64,8 @@
 	return r
 }
 
-// BenchmarkRequest is a request through a VM to an upstream on loopback, with its
-// lines and without.
+// BenchmarkRequest measures a request through a VM to an upstream on loopback, with and
+// without log lines.
 func BenchmarkRequest(b *testing.B) {
 	for _, tc := range []struct {
 		name  string
--- a/io/entry/log_test.go
+++ b/io/entry/log_test.go
@@ -9,8 +9,8 @@
 	"auburnlatch/io/settings"
 )
 
-// A caller complains of one request, by its ID. The lines must say why without
-// a look at the source: docs/OPERATIONS.md promises these events and fields.
+// The lines about one request must explain its result without a look at the source:
+// docs/OPERATIONS.md documents these events and fields.
 func TestLogsExplainARequest(t *testing.T) {
 	type want struct {
 		event  string
@@ -22,10 +22,10 @@
 		h    func(http.ResponseWriter, *http.Request)
 		want []want
 	}{
-		{"refused for want of room", "/home/1", nil, []want{
+		{"refused without capacity", "/home/1", nil, []want{
 			{"RequestGivenUp", map[string]string{"Reason": "NoCapacity", "Verdict": "NotRun", "Status": "503", "Route": "home", "Service": "s", "RetryAfterMs": "250", "UsableTargets": "1", "ColdTargets": "0", "SuspectTargets": "0", "FullTargets": "0"}},
 		}},
-		{"failed, fate unknown", "/post/1", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, []want{
+		{"failed, may have run", "/post/1", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, []want{
 			{"UpstreamFailed", map[string]string{"Reason": "Broken", "Verdict": "MaybeRan", "Target": "i-1", "TargetZone": "z"}},
 			{"RequestGivenUp", map[string]string{"Reason": "Broken", "Verdict": "MaybeRan", "Status": "502"}},
 		}},
@@ -45,7 +45,7 @@
 			ready(t, v)
 			v.request(t, http.MethodPost, tc.path, "complained", "body")
 			var lines []logline.Line
-			eventually(t, "the lines are there", func() bool {
+			eventually(t, "the lines are written", func() bool {
 				lines = v.trace(t, "complained")
 				return len(lines) >= len(tc.want)
 			})
@@ -59,7 +59,7 @@
 					}
 				}
 				if lines[i].Get("RulesAgeMs") == "" || lines[i].Get("TargetsAgeMs") == "" {
-					t.Errorf("%s does not tell how old the copies were: %s", w.event, lines[i].Text)
+					t.Errorf("%s does not have the ages of the copies: %s", w.event, lines[i].Text)
 				}
 			}
 			for _, l := range lines {
@@ -69,18 +69,18 @@
 	}
 }
 
-// The platform is lost and nobody else has newer copies: the log tells when, and
-// that the copies are too old to keep the bound on upstreams that leave.
-func TestLogsTellOfLostPlatform(t *testing.T) {
+// The platform becomes unavailable and no VM has newer copies: the log must say when, and
+// that the copies are too old to keep the bound on leaving upstreams.
+func TestLogsReportUnavailablePlatform(t *testing.T) {
 	p := newPlatform()
 	p.set(entry.TableRules, "config", config(1))
 	register(p, "i-1", "127.0.0.1:1")
 	v := startVM(t, "a", p, func(cfg *settings.Entry) { cfg.LeaveWithin = cfg.LeaveWithin / 4 })
 	ready(t, v)
-	p.setAway(true)
+	p.setUnavailable(true)
 	for _, event := range []string{"PlatformLost", "CopyStale"} {
 		eventually(t, event, func() bool { return len(v.trace(t, event)) > 0 })
 	}
-	p.setAway(false)
+	p.setUnavailable(false)
 	eventually(t, "PlatformRegained", func() bool { return len(v.trace(t, "PlatformRegained")) > 0 })
 }
--- a/io/entry/look_bench_test.go
+++ b/io/entry/look_bench_test.go
@@ -8,18 +8,18 @@
 	"auburnlatch/core/member"
 )
 
-// BenchmarkLook is what a VM without callers works out about the others, by how many they are:
-// who reads for all, whom it asks for its copies, who sends to upstreams, whom it exchanges with.
+// BenchmarkLook measures what a VM without callers computes about the others, by their number:
+// the readers, the sources of its copies, the active VMs, and the partners of its exchanges.
 func BenchmarkLook(b *testing.B) {
 	for _, n := range []int{300, 1_000, 2_000} {
-		v, now := vmAmong(n/9, func(vm *member.VM) { vm.PlatformTrip = time.Millisecond })
+		v, now := newVMAmong(n/9, func(vm *member.VM) { vm.PlatformTrip = time.Millisecond })
 		for _, look := range []struct {
 			name string
 			f    func()
 		}{
-			{"Watchers", func() { v.watchers(now) }},
+			{"Readers", func() { v.readerAddrs(now) }},
 			{"Sources", func() { v.sources(now, 0, []string{"reader"}) }},
-			{"Senders", func() { v.findSenders(now) }},
+			{"Active", func() { v.findActive(now) }},
 			{"Partners", func() { v.partners(now) }},
 			{"Known", func() { v.knownNames(now) }},
 			{"Publish", func() { v.publish(now) }},
--- a/io/entry/members.go
+++ b/io/entry/members.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	// heartbeat is the interval between exchanges with another VM. How many it
-	// takes for a word to go round grows with the logarithm of the VMs' number.
+	// heartbeat is the interval between exchanges with another VM. The number of
+	// heartbeats until all VMs have an update grows with the logarithm of the number of VMs.
 	heartbeat = 500 * time.Millisecond
-	// behindPartners is how many VMs are asked for their copies on each heartbeat by one
-	// whose own the platform has not confirmed lately.
-	behindPartners = 2
-	behindAge      = 1500 * time.Millisecond
-	// defaultIdle bounds idle connections of callers where the rules do not.
+	// unconfirmedPartners is how many VMs a VM asks for their copies on each heartbeat if
+	// the platform has not confirmed its copy of the upstreams for unconfirmedAge.
+	unconfirmedPartners = 2
+	unconfirmedAge      = 1500 * time.Millisecond
+	// defaultIdle bounds the idle time of callers' connections if the rules do not.
 	defaultIdle = time.Minute
 )
 
-// heartbeatLoop tells others of this VM and hears of them.
+// heartbeatLoop publishes this VM's state and exchanges it with others.
 func (v *VM) heartbeatLoop(ctx context.Context) {
-	v.awaitTrip(ctx)
+	v.awaitRTT(ctx)
 	copies := &staleCopies{log: v.log, stale: make(map[string]bool)}
 	lifecycle.Every(ctx, heartbeat, func(now time.Time) {
 		v.members.Tick(now)
 		v.publish(now)
 		v.exchangeMembers(ctx, now)
-		if v.behind(now) {
-			v.startExchanges(ctx, v.copyPartners(now), behindPartners, nil)
+		if v.targetsUnconfirmed(now) {
+			v.startExchanges(ctx, v.copyPartners(now), unconfirmedPartners, nil)
 		}
 		if now.Sub(v.started) >= joinHold {
-			v.renewSenders(now)
+			v.updateActive(now)
 		}
-		v.peers.CloseIdle(now)
+		v.peerClient.CloseIdle(now)
 		for name, t := range v.replicas {
 			copies.note(name, t.Head(now).Age, v.cfg.Load().LeaveWithin)
 		}
@@ -55,14 +55,14 @@
 	return defaultIdle
 }
 
-// reporters is how many VMs of a zone tell the other zones who is alive there.
+// reporters is how many VMs of a zone report its live VMs to the other zones.
 const reporters = 2
 
-// publish renews what others are told of this VM, and of its zone.
+// publish updates the published state of this VM, and the report of its zone.
 func (v *VM) publish(now time.Time) {
 	v.members.Publish(now, *v.self(now))
 	if v.settling(now) {
-		return // It cannot have heard of its mates yet.
+		return // It may not know of its peers yet.
 	}
 	names := fleet{v}.ZoneLive(now)
 	if slices.Contains(dispatch.First("report", names, reporters), v.cfg.Load().Name) {
@@ -70,51 +70,52 @@
 	}
 }
 
-// self is what others are told of this VM.
+// self returns the published state of this VM.
 func (v *VM) self(now time.Time) *member.VM {
 	cfg := v.cfg.Load()
 	return &member.VM{
 		Name: cfg.Name, Zone: cfg.Zone, Leaving: v.leaving.Load(), Dispatches: v.Ready(),
-		Capacity: cfg.Capacity, Traffic: v.traffic.Traffic(now), PlatformTrip: v.platformTrip(),
+		Capacity: cfg.Capacity, Traffic: v.traffic.Traffic(now), PlatformTrip: v.platformRTT(),
 		Address: member.Address{Name: cfg.Name, Zone: cfg.Zone, Caller: cfg.FrontAddr, Peer: cfg.PeerAddr, Leaving: v.leaving.Load()},
 	}
 }
 
-// senders are the VMs that callers use.
-type senders struct {
+// activeVMs are the VMs that have callers, or are returned to callers by look-ups.
+type activeVMs struct {
 	vms []balance.VM // This one included.
-	// self says that callers use this one.
+	// self is set if this VM is one of them.
 	self bool
 }
 
-// renewSenders works out anew who sends to upstreams, and how many VMs share retries, where
-// anything is different from the last time: each takes a look at all VMs.
-func (v *VM) renewSenders(now time.Time) {
+// updateActive recomputes the active VMs, and the number of VMs that share the retry
+// budget, if an input has changed. The computation iterates over all VMs.
+func (v *VM) updateActive(now time.Time) {
 	self := v.self(now)
-	basis := sendersBasis{ready: self.Dispatches, traffic: self.Traffic, mates: v.matesSum(now)}
-	if v.senders.Load() != nil && v.basis == basis {
+	inputs := activeInputs{ready: self.Dispatches, traffic: self.Traffic, peers: v.peersHash(now)}
+	if v.activeCache.Load() != nil && v.activeInputs == inputs {
 		return
 	}
-	v.basis = basis
-	s := v.findSenders(now)
-	v.senders.Store(&s)
+	v.activeInputs = inputs
+	s := v.findActive(now)
+	v.activeCache.Store(&s)
 	v.balancer.SetVMs(s.vms)
 	v.retries.SetVMs(len(v.knownNames(now)))
 }
 
-// sendersBasis is what senders depend on.
-type sendersBasis struct {
+// activeInputs is what the active VMs depend on.
+type activeInputs struct {
 	ready   bool
 	traffic member.Traffic
-	mates   uint64
+	peers   uint64
 }
 
-// matesSum stands for what the other VMs tell of themselves, and whether they are heard.
-func (v *VM) matesSum(now time.Time) uint64 {
+// peersHash returns a hash of the published states of the other VMs, and of whether each was
+// heard from within silentRetention.
+func (v *VM) peersHash(now time.Time) uint64 {
 	var sum uint64
 	for _, m := range v.members.Peers(now) {
 		x := m.Stamp.ContentHash() + uint64(m.State)
-		if now.Sub(m.Heard) < forgetAfter {
+		if now.Sub(m.Heard) < silentRetention {
 			x = ^x
 		}
 		sum += x
@@ -122,74 +123,74 @@
 	return sum
 }
 
-// findSenders returns the VMs that share what a cold upstream bears: those that may
-// be running and have callers or are named to them. Were the others among them,
-// upstreams whose turns fall to those would get nothing for as long as they are cold.
-// This VM always is one. One that gets callers may not be known to the others for two
-// heartbeats, and takes a turn of its own then.
-func (v *VM) findSenders(now time.Time) senders {
+// findActive returns the VMs that share the capacity of a cold upstream: those that may
+// be running and have callers or are returned to them. If the others were included, their
+// shares would go unused and the upstream would stay cold for longer. This VM is always
+// included. If it has new callers, the others may not know of it for two heartbeats, and
+// it takes a share on top of theirs in that time.
+func (v *VM) findActive(now time.Time) activeVMs {
 	cfg := v.cfg.Load()
-	s := senders{self: v.traffic.Traffic(now).Requests > 0}
-	sending := map[string]string{cfg.Name: cfg.Region}
-	mates := v.members.Peers(now)
-	for _, m := range mates {
-		if m.State != member.Gone && now.Sub(m.Heard) < forgetAfter && m.VM.Traffic.Requests > 0 {
-			sending[m.VM.Name] = cfg.Regions[m.VM.Zone]
+	s := activeVMs{self: v.traffic.Traffic(now).Requests > 0}
+	active := map[string]string{cfg.Name: cfg.Region}
+	peers := v.members.Peers(now)
+	for _, m := range peers {
+		if m.State != member.Gone && now.Sub(m.Heard) < silentRetention && m.VM.Traffic.Requests > 0 {
+			active[m.VM.Name] = cfg.Regions[m.VM.Zone]
 		}
 	}
-	for region, near := range v.takersByRegion(now, mates) {
+	for region, near := range v.readyByRegion(now, peers) {
 		for _, vm := range callers.Named(near) {
-			sending[vm.Name] = region
+			active[vm.Name] = region
 			s.self = s.self || vm.Name == cfg.Name
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(sending)) {
-		s.vms = append(s.vms, balance.VM{Name: name, Region: sending[name]})
+	for _, name := range slices.Sorted(maps.Keys(active)) {
+		s.vms = append(s.vms, balance.VM{Name: name, Region: active[name]})
 	}
 	return s
 }
 
-// sending is what findSenders found on the last heartbeat.
-func (v *VM) sending(now time.Time) senders {
-	if s := v.senders.Load(); s != nil {
+// active returns the result of findActive on the last heartbeat.
+func (v *VM) active(now time.Time) activeVMs {
+	if s := v.activeCache.Load(); s != nil {
 		return *s
 	}
-	return v.findSenders(now)
+	return v.findActive(now)
 }
 
-// knownNames returns all VMs that may be running, silent ones included: shares
-// of what VMs have in common must count those that are only cut off.
+// knownNames returns all VMs that may be running, including silent ones: VMs that are
+// only cut off must be counted in shares of common budgets.
 func (v *VM) knownNames(now time.Time) []string {
 	names := []string{v.cfg.Load().Name}
 	for _, m := range v.members.Peers(now) {
-		if m.State != member.Gone && now.Sub(m.Heard) < forgetAfter {
+		if m.State != member.Gone && now.Sub(m.Heard) < silentRetention {
 			names = append(names, m.VM.Name)
 		}
 	}
 	return names
 }
 
-// mateAddrs are the addresses of all other VMs, as of a moment.
-type mateAddrs struct {
+// peerAddrSet is the set of all other VMs' addresses at some time.
+type peerAddrSet struct {
 	addrs map[string]bool
 	at    time.Time
 }
 
-// refreshMates is how old the list may be by which an address is taken for a stranger's.
-const refreshMates = 100 * time.Millisecond
+// unknownPeerTTL is the age up to which the cached set suffices to reject an address.
+const unknownPeerTTL = 100 * time.Millisecond
 
-// isMate reports whether an address is that of another VM. The list is kept for a heartbeat:
-// made for each datagram that a collector gets, it takes a whole core with 300 VMs.
-func (v *VM) isMate(now time.Time, addr string) bool {
-	mates := v.mates.Load()
-	if mates == nil || now.Sub(mates.at) >= heartbeat || !mates.addrs[addr] && now.Sub(mates.at) >= refreshMates {
-		mates = &mateAddrs{v.peerAddrs(now), now}
-		v.mates.Store(mates)
+// isPeer reports whether an address is that of another VM. The set is cached for a heartbeat:
+// building it for each datagram that a collector receives takes a whole core with 300 VMs.
+func (v *VM) isPeer(now time.Time, addr string) bool {
+	peers := v.peerAddrCache.Load()
+	if peers == nil || now.Sub(peers.at) >= heartbeat || !peers.addrs[addr] && now.Sub(peers.at) >= unknownPeerTTL {
+		peers = &peerAddrSet{v.peerAddrs(now), now}
+		v.peerAddrCache.Store(peers)
 	}
-	return mates.addrs[addr]
+	return peers.addrs[addr]
 }
 
-// peerAddrs are the addresses of all other VMs.
+// peerAddrs returns the addresses of all other VMs.
 func (v *VM) peerAddrs(now time.Time) map[string]bool {
 	known := make(map[string]bool)
 	for _, m := range v.members.Peers(now) {
@@ -198,11 +199,11 @@
 	return known
 }
 
-// joinHold is how long a VM that has started takes nothing of what all VMs have
-// in common: six heartbeats, as many as silence takes to count.
+// joinHold is how long a VM that has started takes no share of common budgets: six
+// heartbeats, which is also the time after which a silent VM is not live any more.
 const joinHold = 3 * time.Second
 
-// forgetAfter is how long a silent VM keeps its share of what all VMs have in
-// common. A VM cut off for longer has shares that the others use as well; it
-// takes itself for one of as many as it last knew.
-const forgetAfter = time.Minute
+// silentRetention is how long a silent VM keeps its share of common budgets. A VM that is
+// cut off for longer has shares that the others use as well; it goes on counting as many
+// VMs as it knew last.
+const silentRetention = time.Minute
--- a/io/entry/metrics.go
+++ b/io/entry/metrics.go
@@ -20,7 +20,7 @@
 	"auburnlatch/io/peer"
 )
 
-// counters are a VM's figures. The zero value is ready.
+// counters are a VM's counters. The zero value is ready to use.
 type counters struct {
 	requests       atomic.Int64
 	refusedCount   atomic.Int64
@@ -40,7 +40,7 @@
 	digits      = 2
 )
 
-// served counts a request that was answered by an upstream.
+// served counts a request that an upstream answered.
 func (c *counters) served(took time.Duration) {
 	c.requests.Add(1)
 	c.mu.Lock()
@@ -48,11 +48,11 @@
 	if c.latency == nil {
 		c.latency = hdrhistogram.New(1, maxLatency, digits)
 	}
-	// An error says that the value is out of range, which the cap rules out.
+	// The error would mean that the value is out of range, which min excludes.
 	_ = c.latency.RecordValue(min(maxLatency, int64(took/latencyUnit)))
 }
 
-// failed counts a request that was given up on.
+// failed counts a request without a response of an upstream.
 func (c *counters) failed(e *verdict.Error) {
 	c.requests.Add(1)
 	if e.Verdict == verdict.NotRun {
@@ -68,7 +68,7 @@
 	c.reasons[e.Reason]++
 }
 
-// Figures are a VM's figures at one moment.
+// Figures are a VM's metrics at one moment.
 type Figures struct {
 	Requests, Refused, Failed     int64
 	GivenUpByReason               map[verdict.Reason]int64
@@ -78,20 +78,20 @@
 	PlatformCalls, PlatformErrors int64
 	ConfigVersion                 uint64
 	RulesAgeMs, TargetsAgeMs      int64
-	// RulesSureMs is how long ago the rules in force certainly were the newest.
+	// RulesSureMs is how long ago the rules in force were verified to be the newest.
 	RulesSureMs int64
-	// LimitsHeardMs is how long ago totals of what teams ask for were heard.
+	// LimitsHeardMs is how long ago totals of the teams' demand were received.
 	LimitsHeardMs int64
 	LiveVMs       int
-	Placements    int // Objects that have their upstream.
+	Placements    int // Objects with a known placement.
 	Poison        poison.Counts
-	// ControlSent is what was told to other VMs, in bytes by what it is about.
+	// ControlSent is the bytes sent to other VMs, by subject.
 	ControlSent     peer.Sent
 	ControlBytesIn  int64
 	ControlBytesOut int64
 }
 
-// Figures returns the VM's figures.
+// Figures returns the VM's metrics.
 func (v *VM) Figures(now time.Time) Figures {
 	c := &v.counts
 	f := Figures{
@@ -105,7 +105,7 @@
 	f.RulesSureMs = v.rulesAge(clock.Boot()).Milliseconds()
 	f.LimitsHeardMs = min(v.limits.Age(now), lease.Never).Milliseconds()
 	f.ControlSent = v.sent.Sent()
-	f.ControlBytesIn, f.ControlBytesOut = v.peers.Traffic()
+	f.ControlBytesIn, f.ControlBytesOut = v.peerClient.Traffic()
 	if t := v.table.Load(); t != nil {
 		f.ConfigVersion = t.Config.Version
 	}
@@ -122,12 +122,12 @@
 	return f
 }
 
-// sentEvery is the interval between log lines about what was told to other VMs.
-const sentEvery = 10 * time.Second
+// sentInterval is the interval between log lines about the bytes sent to other VMs.
+const sentInterval = 10 * time.Second
 
-// sentLoop logs what was told to other VMs, in bytes since the start.
+// sentLoop logs the bytes sent to other VMs since the start.
 func (v *VM) sentLoop(ctx context.Context) {
-	for lifecycle.Pause(ctx, sentEvery) {
+	for lifecycle.Pause(ctx, sentInterval) {
 		s := v.sent.Sent()
 		v.log.WithFields(logrus.Fields{
 			"Members": s.Members, "Tables": s.Tables, "Placements": s.Placements, "Poison": s.Poison, "Demand": s.Demand, "Upstreams": s.Upstreams,
@@ -135,7 +135,7 @@
 	}
 }
 
-// dumpedBan is a ban as it stands in the dump.
+// dumpedBan is a ban in the dump.
 type dumpedBan struct {
 	Print  string
 	At     time.Time
@@ -150,13 +150,13 @@
 	return list
 }
 
-// publishOnce guards expvar's register, of which a process has one.
-var publishOnce sync.Once
+// expvarOnce guards the registration with expvar, which is global to the process.
+var expvarOnce sync.Once
 
-// MetricsHandler serves the figures at /debug/vars and a dump of what the VM
-// believes at /dump, both as text.
+// MetricsHandler serves the metrics at /debug/vars and a dump of the VM's state at /dump,
+// both as text.
 func (v *VM) MetricsHandler() http.Handler {
-	publishOnce.Do(func() {
+	expvarOnce.Do(func() {
 		expvar.Publish("Entry", expvar.Func(func() any { return v.Figures(time.Now()) }))
 	})
 	mux := http.NewServeMux()
@@ -165,7 +165,7 @@
 		now := time.Now()
 		enc := json.NewEncoder(w)
 		enc.SetIndent("", "  ")
-		// A failed write means that the reader has left.
+		// A failed write means that the client has disconnected.
 		_ = enc.Encode(struct {
 			Figures Figures
 			VMs     any
--- a/io/entry/notice.go
+++ b/io/entry/notice.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	// noticeEvery is how often VMs relay what upstreams say of themselves, each to
-	// noticePartners others.
-	noticeEvery    = 500 * time.Millisecond
-	noticePartners = 2
+	// noticeInterval is how often a VM relays upstreams' notices, each time to
+	// noticeFanout others.
+	noticeInterval = 500 * time.Millisecond
+	noticeFanout   = 2
 )
 
-// notice returns what an upstream says of itself in the status and the header of an answer.
+// notice returns what an upstream reports about itself in a response's status and header.
 func (v *VM) notice(status int, h http.Header) balance.Notice {
 	var n balance.Notice
 	if status == http.StatusServiceUnavailable {
 		n.RetryAfter = upstream.RetryAfter(h)
 	}
 	if name := v.protocol.Limit; name != "" {
-		n.Limit = limitOf(h.Values(name))
+		n.Limit = parseLimit(h.Values(name))
 	}
 	if name := v.protocol.Leaving; name != "" {
 		n.Leaving = slices.ContainsFunc(h.Values(name), func(text string) bool { return strings.TrimSpace(text) == "1" })
@@ -40,8 +40,8 @@
 	return n
 }
 
-// limitOf parses the limit that the values of a field name. Of several the lowest holds.
-func limitOf(values []string) throttle.Notice {
+// parseLimit parses the limit in the values of a field. If there are several, the lowest applies.
+func parseLimit(values []string) throttle.Notice {
 	n := throttle.Notice{}
 	for _, text := range values {
 		perSecond, ok := upstream.Decimal(text)
@@ -55,8 +55,8 @@
 	return n
 }
 
-// heard logs what an upstream says of itself, where that is new.
-func (l *requestLog) heard(lease balance.Lease, n balance.Notice) {
+// notice logs what an upstream reports about itself if it is new.
+func (l *requestLog) notice(lease balance.Lease, n balance.Notice) {
 	if !l.failures.take() {
 		return
 	}
@@ -73,37 +73,37 @@
 	l.log.WithFields(f).Info("UpstreamNotice")
 }
 
-// noticeTeller passes on to other VMs what upstreams say of themselves.
-type noticeTeller struct {
+// noticePublisher relays what upstreams report about themselves to other VMs.
+type noticePublisher struct {
 	vm   *VM
 	peer *peer.Datagrams
 }
 
-// loop tells until ctx ends.
-func (t *noticeTeller) loop(ctx context.Context) {
-	lifecycle.Every(ctx, noticeEvery, t.tell)
+// loop publishes until ctx ends.
+func (p *noticePublisher) loop(ctx context.Context) {
+	lifecycle.Every(ctx, noticeInterval, p.publish)
 }
 
-// tell tells a few VMs.
-func (t *noticeTeller) tell(now time.Time) {
-	list := t.vm.balancer.Reports(now)
+// publish sends the reports to a few VMs.
+func (p *noticePublisher) publish(now time.Time) {
+	list := p.vm.balancer.Reports(now)
 	if len(list) == 0 {
 		return
 	}
-	addrs := slices.Collect(maps.Keys(t.vm.peerAddrs(now)))
+	addrs := slices.Collect(maps.Keys(p.vm.peerAddrs(now)))
 	if len(addrs) == 0 {
 		return
 	}
-	for range noticePartners {
-		t.peer.TellReports([]string{addrs[rand.IntN(len(addrs))]}, list)
+	for range noticeFanout {
+		p.peer.TellReports([]string{addrs[rand.IntN(len(addrs))]}, list)
 	}
 }
 
-// upstreamTable is what datagrams about upstreams are taken by.
+// upstreamTable handles datagrams about upstreams.
 type upstreamTable struct{ *VM }
 
 // Knows implements peer.UpstreamTable.
-func (u upstreamTable) Knows(now time.Time, addr string) bool { return u.isMate(now, addr) }
+func (u upstreamTable) Knows(now time.Time, addr string) bool { return u.isPeer(now, addr) }
 
 // MergeReports implements peer.UpstreamTable.
 func (u upstreamTable) MergeReports(now time.Time, list []balance.Report) {
--- a/io/entry/notice_test.go
+++ b/io/entry/notice_test.go
@@ -22,9 +22,9 @@
 	}{
 		{"no field", nil, throttle.Notice{}},
 		{"decimal", []string{"7.5"}, named(7.5)},
-		{"whole", []string{"8"}, named(8)},
+		{"integer", []string{"8"}, named(8)},
 		{"spaces", []string{" 0.5 "}, named(0.5)},
-		{"nothing is taken", []string{"0"}, named(0)},
+		{"zero", []string{"0"}, named(0)},
 		{"same twice", []string{"3", "3.0"}, named(3)},
 		{"two limits", []string{"9", "3"}, named(3)},
 		{"one of two unreadable", []string{"x", "3"}, named(3)},
@@ -33,13 +33,13 @@
 		{"no number", []string{"NaN"}, unreadable},
 		{"infinite", []string{"Inf"}, unreadable},
 		{"exponent", []string{"1e9"}, unreadable},
-		{"beyond range", []string{strings.Repeat("9", 400)}, unreadable},
+		{"out of range", []string{strings.Repeat("9", 400)}, unreadable},
 		{"hexadecimal", []string{"0x10"}, unreadable},
 		{"list", []string{"3, 9"}, unreadable},
 		{"date", []string{"Thu, 03 Dec 2026 09:00:00 GMT"}, unreadable},
-		{"two points", []string{"1.2.3"}, unreadable},
+		{"two decimal points", []string{"1.2.3"}, unreadable},
 	} {
-		if got := limitOf(c.values); got != c.want {
+		if got := parseLimit(c.values); got != c.want {
 			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
 		}
 	}
@@ -58,7 +58,7 @@
 		{"one of two", []string{"0", "1"}, true},
 		{"not leaving", []string{"0"}, false},
 		{"empty", []string{""}, false},
-		{"another word", []string{"true"}, false},
+		{"another value", []string{"true"}, false},
 		{"another number", []string{"11"}, false},
 	} {
 		if got := v.notice(http.StatusOK, http.Header{"Leaving": c.values}).Leaving; got != c.want {
@@ -78,12 +78,12 @@
 		{"no field", 503, nil, 0},
 		{"seconds", 503, []string{"3"}, 3 * time.Second},
 		{"parts of a second", 503, []string{" 0.25 "}, 250 * time.Millisecond},
-		{"no time", 503, []string{"0"}, 0},
+		{"zero", 503, []string{"0"}, 0},
 		{"two times", 503, []string{"1", "3"}, 3 * time.Second},
 		{"one of two unreadable", 503, []string{"x", "3"}, 3 * time.Second},
-		{"longer than anybody waits", 503, []string{"99999999999999999999"}, upstream.MaxPause},
+		{"above the maximum", 503, []string{"99999999999999999999"}, upstream.MaxPause},
 		{"another status", 429, []string{"3"}, 0},
-		{"an answer", 200, []string{"3"}, 0},
+		{"another response", 200, []string{"3"}, 0},
 		{"empty", 503, []string{""}, 0},
 		{"negative", 503, []string{"-3"}, 0},
 		{"no number", 503, []string{"NaN"}, 0},
--- a/io/entry/pause_test.go
+++ b/io/entry/pause_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// pausingUpstream turns all requests away and asks for a pause, for as long as it is told to.
+// pausingUpstream refuses all requests with a Retry-After until serve is called.
 type pausingUpstream struct {
 	*upstreamServer
 	mu      sync.Mutex
 	after   string
 	pause   time.Duration
 	until   map[string]time.Time // By VM, the end of the pause.
-	since   map[string]time.Time // By VM, when half a second of the pause is over.
-	early   map[string]int       // Requests within the pauses of a VM.
+	since   map[string]time.Time // By VM, half a second after the pause began.
+	early   map[string]int       // By VM, the requests within its pauses.
 	arrived int
 }
 
@@ -61,7 +61,7 @@
 }
 
 // Guards against requests to an upstream that has asked for a pause with Retry-After.
-func TestUpstreamIsLeftAloneForRetryAfter(t *testing.T) {
+func TestNoRequestsDuringRetryAfter(t *testing.T) {
 	p := newPlatform()
 	p.set("Rules", "config", config(1))
 	u := startPausing(t, "2", 2*time.Second)
@@ -75,7 +75,7 @@
 		t.Errorf("a VM sent %d requests within pauses, 2 are allowed in each; %d arrived in all", early, arrived)
 	}
 	u.serve()
-	eventually(t, "it gets its part again", func() bool {
+	eventually(t, "it gets its part of the requests again", func() bool {
 		_, before := u.seen()
 		<-time.After(time.Second)
 		_, after := u.seen()
@@ -83,8 +83,8 @@
 	})
 }
 
-// Guards against a time to come back that is before the end of every upstream's pause.
-func TestAllUpstreamsPause(t *testing.T) {
+// Guards against a Retry-After that ends before every upstream's pause does.
+func TestRetryAfterOfAllUpstreamsPausing(t *testing.T) {
 	p := newPlatform()
 	p.set("Rules", "config", config(1))
 	for _, u := range []struct {
--- a/io/entry/placement.go
+++ b/io/entry/placement.go
@@ -13,161 +13,161 @@
 )
 
 const (
-	// tellEvery is the least time between two tellings of where objects were placed,
-	// so that those of a busy moment travel together. An object is asked for again
-	// some hundred milliseconds later at the soonest.
-	tellEvery = 20 * time.Millisecond
-	// placeTick is how often placements are looked at otherwise.
-	placeTick = 250 * time.Millisecond
-	// joinWithin is how long a VM that has started waits for others' placements before
-	// it goes by its own.
-	joinWithin = 2 * time.Second
-	// keepEvery is the least time between two writes of a region's placements to the
-	// platform: all VMs of a region that lose power at once find them again as of
-	// then. At ten bytes an object the 300 of a small region are 1.5 KB/s.
-	keepEvery = 2 * time.Second
-	// askVMsFor is how long a VM asks others for placements that has started or that
-	// callers begin to use.
-	askVMsFor = 3 * time.Second
-	// keepDuty is what VMs are ranked for that keep placements whether callers use them or
-	// not: standbys of them, of which the first writes them to the platform.
-	keepDuty = "placements"
-	standbys = 6
-	// tellAllBelow is the number of other VMs of a region below which all are told of
-	// placements: any of them may be the next that callers use.
-	tellAllBelow = 24
+	// minPublishInterval is the least time between two messages about new placements, so
+	// that those of a busy moment are sent together. An object is requested again some
+	// hundred milliseconds later at the soonest.
+	minPublishInterval = 20 * time.Millisecond
+	// placementTick is the interval of the periodic work on placements.
+	placementTick = 250 * time.Millisecond
+	// syncTimeout is how long a VM that has started waits for others' placements before
+	// it relies on its own.
+	syncTimeout = 2 * time.Second
+	// saveInterval is the least time between two writes of a region's placements to the
+	// platform. If all VMs of a region lose power at once, they start with the placements
+	// as of then. At ten bytes an object the 300 objects of a small region are 1.5 KB/s.
+	saveInterval = 2 * time.Second
+	// syncPeriod is how long a VM requests placements from others after it has started
+	// or begun to have callers.
+	syncPeriod = 3 * time.Second
+	// standbyDuty is the key for ranking the VMs that hold placements whether or not they
+	// have callers. The first standbys of them do, and the first writes to the platform.
+	standbyDuty = "placements"
+	standbys    = 6
+	// broadcastBelow is the number of other VMs of a region below which placements are
+	// sent to all: any of them may be the next to have callers.
+	broadcastBelow = 24
 )
 
-// placementTeller tells the VMs of the region where this VM has placed objects, and
-// keeps a copy of all of them on the platform.
-type placementTeller struct {
+// placementPublisher sends this VM's new placements to the VMs of the region, and
+// writes the region's placements to the platform.
+type placementPublisher struct {
 	vm   *VM
 	peer *peer.Datagrams
 
-	kept   uint64 // The changes up to which the platform has a copy.
-	keptAt time.Time
-	// used says that callers use this VM, and usedSince for how long that has been so.
-	used      bool
-	usedSince time.Time
+	savedChanges uint64 // The count of changes that the platform has a copy of.
+	savedAt      time.Time
+	// active is set if this VM has callers, and activeSince is when that last changed.
+	active      bool
+	activeSince time.Time
 }
 
-// loop tells of what is new.
-func (t *placementTeller) loop(ctx context.Context) {
-	t.recall(ctx)
-	tick := time.NewTicker(placeTick)
+// loop publishes new placements until ctx ends.
+func (p *placementPublisher) loop(ctx context.Context) {
+	p.restore(ctx)
+	tick := time.NewTicker(placementTick)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.vm.placed:
-			t.peer.Tell(t.vm.holders(time.Now()), t.vm.balancer.News())
-			if !lifecycle.Pause(ctx, tellEvery) {
+		case <-p.vm.newPlacements:
+			p.peer.Tell(p.vm.placementHolders(time.Now()), p.vm.balancer.News())
+			if !lifecycle.Pause(ctx, minPublishInterval) {
 				return
 			}
 		case now := <-tick.C:
-			t.look(ctx, now)
+			p.tick(ctx, now)
 		}
 	}
 }
 
-// look does what is due now and then.
-func (t *placementTeller) look(ctx context.Context, now time.Time) {
-	since := now.Sub(t.vm.started)
-	if t.asks(now) {
-		if addrs := t.vm.holders(now); len(addrs) > 0 {
-			t.peer.Ask(addrs[rand.IntN(len(addrs))])
+// tick does the periodic work.
+func (p *placementPublisher) tick(ctx context.Context, now time.Time) {
+	since := now.Sub(p.vm.started)
+	if p.shouldSync(now) {
+		if addrs := p.vm.placementHolders(now); len(addrs) > 0 {
+			p.peer.Ask(addrs[rand.IntN(len(addrs))])
 		}
 	}
-	if since >= joinWithin {
-		t.vm.balancer.SetSynced()
+	if since >= syncTimeout {
+		p.vm.balancer.SetSynced()
 	}
-	t.vm.balancer.Expire(now)
-	if now.Sub(t.keptAt) >= keepEvery && t.vm.keepsPlacements(now) {
-		t.keep(ctx, now)
+	p.vm.balancer.Expire(now)
+	if now.Sub(p.savedAt) >= saveInterval && p.vm.writesPlacements(now) {
+		p.save(ctx, now)
 	}
 }
 
-// asks reports whether this VM is to ask others for placements: it has just started, or
-// callers have just begun to use it.
-func (t *placementTeller) asks(now time.Time) bool {
-	if used := t.vm.sending(now).self; used != t.used {
-		t.used, t.usedSince = used, now
+// shouldSync reports whether this VM is to request placements from others: it has just
+// started, or has just begun to have callers.
+func (p *placementPublisher) shouldSync(now time.Time) bool {
+	if active := p.vm.active(now).self; active != p.active {
+		p.active, p.activeSince = active, now
 	}
-	return now.Sub(t.vm.started) < askVMsFor || t.used && now.Sub(t.usedSince) < askVMsFor
+	return now.Sub(p.vm.started) < syncPeriod || p.active && now.Sub(p.activeSince) < syncPeriod
 }
 
-// keep writes the region's placements to the platform, if they have changed. One
-// write that fails is made good by the next.
-func (t *placementTeller) keep(ctx context.Context, now time.Time) {
-	list, changes := t.vm.balancer.Placements()
-	if changes == t.kept {
+// save writes the region's placements to the platform if they have changed. The next
+// write makes up for one that fails.
+func (p *placementPublisher) save(ctx context.Context, now time.Time) {
+	list, changes := p.vm.balancer.Placements()
+	if changes == p.savedChanges {
 		return
 	}
-	t.keptAt = now
+	p.savedAt = now
 	data, err := wire.PackPlacements(list)
 	if err == nil {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		t.vm.counts.platformCalls.Add(1)
-		err = t.vm.platform.KeepPlacements(ctx, t.vm.cfg.Load().Region, data)
+		p.vm.counts.platformCalls.Add(1)
+		err = p.vm.platform.KeepPlacements(ctx, p.vm.cfg.Load().Region, data)
 	}
 	if err != nil {
-		t.vm.log.WithField("Err", err).Info("PlacementsNotKept")
+		p.vm.log.WithField("Err", err).Info("PlacementsNotKept")
 		return
 	}
-	t.kept = changes
+	p.savedChanges = changes
 }
 
-// recall reads the region's placements from the platform. Without them objects are
-// placed anew, and are new to half of their targets.
-func (t *placementTeller) recall(ctx context.Context) {
-	if t.vm.cfg.Load().FirstStart {
+// restore reads the region's placements from the platform. Without them objects would be
+// placed anew, and half of their targets would not have them cached.
+func (p *placementPublisher) restore(ctx context.Context) {
+	if p.vm.cfg.Load().FirstStart {
 		return // There were no callers before.
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	t.vm.counts.platformCalls.Add(1)
-	data, err := t.vm.platform.Placements(ctx, t.vm.cfg.Load().Region)
+	p.vm.counts.platformCalls.Add(1)
+	data, err := p.vm.platform.Placements(ctx, p.vm.cfg.Load().Region)
 	if err != nil {
-		t.vm.log.WithField("Err", err).Warn("PlacementsNotRecalled")
+		p.vm.log.WithField("Err", err).Warn("PlacementsNotRecalled")
 		return
 	}
 	list, err := wire.UnpackPlacements(data)
 	if err != nil {
-		t.vm.log.WithField("Err", err).Warn("PlacementsNotRecalled")
+		p.vm.log.WithField("Err", err).Warn("PlacementsNotRecalled")
 		return
 	}
-	t.vm.balancer.MergePlacements(time.Now(), list)
+	p.vm.balancer.MergePlacements(time.Now(), list)
 	if len(list) > 0 {
-		t.vm.balancer.SetSynced()
+		p.vm.balancer.SetSynced()
 	}
 }
 
-// signalPlaced has new placements told.
-func (v *VM) signalPlaced() {
+// signalPlacements triggers publishing new placements.
+func (v *VM) signalPlacements() {
 	select {
-	case v.placed <- struct{}{}:
+	case v.newPlacements <- struct{}{}:
 	default:
 	}
 }
 
-// holders returns the addresses of the other VMs that know the region's placements: in a
-// large region those that callers use, and the standbys.
-func (v *VM) holders(now time.Time) []string {
-	mates := v.regionMates(now)
+// placementHolders returns the addresses of the other VMs that hold the region's placements:
+// in a large region the active VMs and the standbys.
+func (v *VM) placementHolders(now time.Time) []string {
+	peers := v.regionPeers(now)
 	var holds map[string]bool
-	if len(mates) >= tellAllBelow {
+	if len(peers) >= broadcastBelow {
 		holds = make(map[string]bool)
-		for _, name := range v.keepers(mates, standbys) {
+		for _, name := range v.placementStandbys(peers, standbys) {
 			holds[name] = true
 		}
-		for _, vm := range v.sending(now).vms {
+		for _, vm := range v.active(now).vms {
 			holds[vm.Name] = true
 		}
 	}
 	var addrs []string
-	for _, vm := range mates {
+	for _, vm := range peers {
 		if holds == nil || holds[vm.Name] {
 			addrs = append(addrs, vm.Address.Peer)
 		}
@@ -175,11 +175,11 @@
 	return addrs
 }
 
-// regionMates returns the other live VMs of this VM's region.
-func (v *VM) regionMates(now time.Time) []*member.VM { return v.liveIn(now, v.cfg.Load().Region) }
+// regionPeers returns the other live VMs of this VM's region.
+func (v *VM) regionPeers(now time.Time) []*member.VM { return v.liveIn(now, v.cfg.Load().Region) }
 
-// zoneMates returns the other live VMs of this VM's zone, in order of name.
-func (v *VM) zoneMates(now time.Time) []*member.VM {
+// zonePeers returns the other live VMs of this VM's zone, in order of name.
+func (v *VM) zonePeers(now time.Time) []*member.VM {
 	zone := v.cfg.Load().Zone
 	var list []*member.VM
 	for _, m := range v.members.Peers(now) {
@@ -210,14 +210,14 @@
 	return list
 }
 
-// keepsPlacements reports whether this VM writes the region's placements to the
-// platform. Two that both think so overwrite each other with the same.
-func (v *VM) keepsPlacements(now time.Time) bool {
-	return v.keepers(v.regionMates(now), 1)[0] == v.cfg.Load().Name
+// writesPlacements reports whether this VM writes the region's placements to the
+// platform. If two VMs do, both write the same.
+func (v *VM) writesPlacements(now time.Time) bool {
+	return v.placementStandbys(v.regionPeers(now), 1)[0] == v.cfg.Load().Name
 }
 
-// keepers returns the names of the first n VMs that keep the region's placements. mates are
-// its other VMs.
-func (v *VM) keepers(mates []*member.VM, n int) []string {
-	return dispatch.First(keepDuty, append(namesOf(mates), v.cfg.Load().Name), n)
+// placementStandbys returns the names of the first n VMs that hold the region's placements.
+// peers are its other VMs.
+func (v *VM) placementStandbys(peers []*member.VM, n int) []string {
+	return dispatch.First(standbyDuty, append(namesOf(peers), v.cfg.Load().Name), n)
 }
--- a/io/entry/placement_among_test.go
+++ b/io/entry/placement_among_test.go
@@ -8,8 +8,8 @@
 	"auburnlatch/core/member"
 )
 
-// Guards against datagrams that grow with the VMs of a region.
-func TestPlacementsAreToldToThoseThatUseThem(t *testing.T) {
+// Guards against datagrams whose number grows with the VMs of a region.
+func TestPlacementsAreSentToActiveVMs(t *testing.T) {
 	named := func(vm *member.VM) bool { return vm.Name == "vm3" || vm.Name == "vm6" }
 	for _, tc := range []struct {
 		name        string
@@ -20,7 +20,7 @@
 		{"a small region", 4, 12, 12},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			v, now := vmAmong(tc.perZone, func(vm *member.VM) {
+			v, now := newVMAmong(tc.perZone, func(vm *member.VM) {
 				vm.Address.Peer = vm.Name
 				if named(vm) {
 					vm.Traffic, vm.Capacity = member.Traffic{Requests: 200, Bytes: 1e6}, member.Capacity{LinkMbps: 1000, Cores: 2}
@@ -28,31 +28,31 @@
 					vm.Capacity = member.Capacity{LinkMbps: 20, Cores: 0.16}
 				}
 			})
-			addrs := v.holders(now)
+			addrs := v.placementHolders(now)
 			if len(addrs) < tc.least || len(addrs) > tc.most {
-				t.Errorf("%d VMs are told, want %d to %d", len(addrs), tc.least, tc.most)
+				t.Errorf("%d VMs receive placements, want %d to %d", len(addrs), tc.least, tc.most)
 			}
 			for _, name := range []string{"vm3", "vm6"} {
 				if !slices.Contains(addrs, name) {
-					t.Errorf("%v are told, without %s that callers use", addrs, name)
+					t.Errorf("%v receive placements, without %s that has callers", addrs, name)
 				}
 			}
 		})
 	}
 }
 
-// Guards against callers sent to a VM that does not know where their objects are.
-func TestVMThatCallersBeginToUseIsAskingForPlacements(t *testing.T) {
-	v, now := vmAmong(100, nil)
-	teller := &placementTeller{vm: v}
-	if teller.asks(now) {
-		t.Error("a VM that callers do not use asks for placements")
+// Guards against callers being sent to a VM that does not know the placements of their objects.
+func TestVMWithFirstCallersRequestsPlacements(t *testing.T) {
+	v, now := newVMAmong(100, nil)
+	publisher := &placementPublisher{vm: v}
+	if publisher.shouldSync(now) {
+		t.Error("a VM without callers requests placements")
 	}
-	v.senders.Store(&senders{self: true})
-	if !teller.asks(now.Add(time.Second)) || !teller.asks(now.Add(2*time.Second)) {
-		t.Error("a VM that callers begin to use does not ask for placements")
+	v.activeCache.Store(&activeVMs{self: true})
+	if !publisher.shouldSync(now.Add(time.Second)) || !publisher.shouldSync(now.Add(2*time.Second)) {
+		t.Error("a VM with its first callers does not request placements")
 	}
-	if teller.asks(now.Add(time.Second + askVMsFor)) {
-		t.Error("it goes on asking")
+	if publisher.shouldSync(now.Add(time.Second + syncPeriod)) {
+		t.Error("it still requests placements after syncPeriod")
 	}
 }
--- a/io/entry/placement_test.go
+++ b/io/entry/placement_test.go
@@ -11,7 +11,7 @@
 	"auburnlatch/io/settings"
 )
 
-// sticky is config with routes whose requests concern objects.
+// sticky is config with sticky routes.
 func sticky(version uint64) *route.Config {
 	cfg := config(version)
 	for _, r := range cfg.Routes {
@@ -20,7 +20,7 @@
 	return cfg
 }
 
-// targetsOf asks a VM once for each of n objects and returns who answered.
+// targetsOf requests each of n objects once from a VM and returns which upstreams responded.
 func targetsOf(t *testing.T, v *runningVM, n int) []string {
 	t.Helper()
 	list := make([]string, n)
@@ -44,11 +44,11 @@
 	return n
 }
 
-// Two VMs serve a region's objects. An object that one has placed must be asked for at
-// the same upstream by the other, which has been told and would by itself have placed
-// it elsewhere. Then all VMs lose power at once: those that start find the objects
-// where they were, as the platform has kept it, or all would be new somewhere else.
-func TestPlacementsAreToldAndOutliveTheVMs(t *testing.T) {
+// Two VMs serve a region's objects. When one has placed an object, the other must send
+// requests for it to the same upstream, though by itself it would have placed it elsewhere.
+// Then all VMs lose power at once: the VMs that start must use the placements that the
+// platform has stored, or no upstream would have its objects cached.
+func TestPlacementsAreSharedAndPersisted(t *testing.T) {
 	p := newPlatform()
 	p.set(entry.TableRules, "config", sticky(1))
 	for i := range 12 {
@@ -63,10 +63,10 @@
 		return func() bool { return v.Figures(time.Now()).Placements > 0 }
 	}
 	const objects = 40
-	eventually(t, "the first VM places objects", func() bool { targetsOf(t, a, objects); return joined(a)() })
+	eventually(t, "the first VM has placements", func() bool { targetsOf(t, a, objects); return joined(a)() })
 	before := targetsOf(t, a, objects)
-	eventually(t, "the other VM is told", func() bool { return differences(before, targetsOf(t, b, objects)) <= 1 })
-	eventually(t, "the platform keeps them", func() bool {
+	eventually(t, "the other VM has the placements", func() bool { return differences(before, targetsOf(t, b, objects)) <= 1 })
+	eventually(t, "the platform has stored them", func() bool {
 		data, err := p.Placements(t.Context(), "r")
 		return err == nil && len(data) > objects*8
 	})
@@ -76,8 +76,8 @@
 	}
 	c := startVM(t, "c", p, nil)
 	ready(t, c)
-	eventually(t, "the VM that starts knows where objects are", joined(c))
+	eventually(t, "the VM that starts has placements", joined(c))
 	if n := differences(before, targetsOf(t, c, objects)); n > 3 {
-		t.Errorf("%d of %d objects are elsewhere after all VMs started anew", n, objects)
+		t.Errorf("%d of %d objects are elsewhere after all VMs were restarted", n, objects)
 	}
 }
--- a/io/entry/poison_answer_test.go
+++ b/io/entry/poison_answer_test.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// Guards against a request that is cleared by the answers which its upstreams give as they
-// end.
-func TestPoisonRequestThatIsAnsweredIsStopped(t *testing.T) {
+// Guards against a poison request that is cleared by responses which its upstreams send just
+// before they crash.
+func TestPoisonRequestAnsweredSometimesIsStopped(t *testing.T) {
 	p := poisonPlatform()
-	h := startHerd(t, p, 8)
-	h.answerEvery = 2
+	f := startCrashFleet(t, p, 8)
+	f.answerEvery = 2
 	vms := poisonFleet(t, p, 3)
-	storm(vms, 0, 5*time.Second)
-	h.mustStop("answered every second time")
-	h.mustHaveEnded()
+	floodPoison(vms, 0, 5*time.Second)
+	f.requireStopped("answered every second time")
+	f.requireCrashes()
 }
 
-// Guards against a request that each upstream answers before it ends, so that all but the
-// cause is suspected.
-func TestPoisonRequestThatIsAlwaysAnsweredIsStopped(t *testing.T) {
+// Guards against a poison request to which each upstream responds before it crashes, so that
+// all requests but the cause are suspected.
+func TestPoisonRequestAnsweredAlwaysIsStopped(t *testing.T) {
 	p := poisonPlatform()
-	h := startHerd(t, p, 8)
-	h.answerEvery = 1
+	f := startCrashFleet(t, p, 8)
+	f.answerEvery = 1
 	vms := poisonFleet(t, p, 3)
 	var wg sync.WaitGroup
 	for i := range 600 {
@@ -35,14 +35,14 @@
 			vms[i%len(vms)].served(fmt.Sprint("/get/", i), fmt.Sprint("innocent", i))
 		})
 	}
-	storm(vms, 0, 5*time.Second)
+	floodPoison(vms, 0, 5*time.Second)
 	wg.Wait()
-	h.mustStop("answered each time")
-	h.mustHaveEnded()
+	f.requireStopped("answered each time")
+	f.requireCrashes()
 }
 
-// Guards against a request that is cleared by the 421 of another incarnation at the address.
-func TestAnswerOfAnotherIncarnationClearsNobody(t *testing.T) {
+// Guards against a poison request that is cleared by the 421 of another incarnation at the address.
+func TestMisdirectedResponseDoesNotClear(t *testing.T) {
 	p := poisonPlatform()
 	var reused atomic.Bool
 	u := startUpstream(t, func(w http.ResponseWriter, r *http.Request) {
@@ -50,7 +50,7 @@
 			w.WriteHeader(http.StatusMisdirectedRequest)
 			return
 		}
-		panic(http.ErrAbortHandler) // The connection ends without an answer.
+		panic(http.ErrAbortHandler) // The connection is closed without a response.
 	})
 	register(p, "i-1", u.addr())
 	v := startVM(t, "a", p, nil)
@@ -59,13 +59,13 @@
 	<-time.After(700 * time.Millisecond)
 	reused.Store(true)
 	v.ask("/get/other", "other")
-	eventually(t, "the end is held against the request under which it came", func() bool {
+	eventually(t, "the request under which the upstream crashed is suspected", func() bool {
 		return v.Figures(time.Now()).Poison.Suspects == 1
 	})
 }
 
-// Guards against suspicion for connections that break off while the upstream lives.
-func TestPoisonIsNotSuspectedWhereOnlyConnectionsEnd(t *testing.T) {
+// Guards against suspicion when connections are cut but the upstream lives.
+func TestCutConnectionsAreNotSuspected(t *testing.T) {
 	p := poisonPlatform()
 	var mu sync.Mutex
 	cuts := 0
@@ -82,9 +82,9 @@
 	v := startVM(t, "a", p, nil)
 	ready(t, v)
 	if !v.served("/get/1", "cut") {
-		t.Error("a request whose connections broke off twelve times was not served by upstreams that live")
+		t.Error("a request whose connections were cut twelve times was not served by live upstreams")
 	}
 	if n := cuts; n < 12 {
-		t.Errorf("its connection broke off %d times, so this test says nothing", n)
+		t.Errorf("its connection was cut %d times, so this test is inconclusive", n)
 	}
 }
