--- a/io/entry/push.go
+++ b/io/entry/push.go
@@ -13,115 +13,116 @@
 )
 
 const (
-	// pushFanout is how many VMs a change is handed to by each VM that takes it
-	// in. At three a change reaches 94 of 100 VMs, worked out; the others hear of it
-	// when they next ask. All but one are of its own region.
+	// pushFanout is how many VMs each VM pushes a change to when it receives it. With
+	// three a change reaches 94 of 100 VMs by calculation; the others receive it on their
+	// next pull. All but one are of the VM's own region.
 	pushFanout = 3
-	// pushCrossings is how many VMs of a region hand a change on to another region. Handed
-	// to any VM, two of three copies would cross between regions, as many as there are VMs.
-	pushCrossings = 4
-	// pushEvery bounds how often a VM pushes, so that changes in quick succession
-	// travel together.
-	pushEvery = 150 * time.Millisecond
-	// pushSpan is how far back the changes reach that are handed over: a VM whose
-	// copy is older cannot take them, and asks a watcher within this time.
-	pushSpan = 2 * time.Second
-	// maxPushed bounds the rows of one push. What is more is a whole table, which
-	// those who lack it ask for themselves.
-	maxPushed = 64
-	// offerAbove is the size in bytes above which changes are offered: whoever lacks them
-	// takes them, at the price of one round trip. A VM is handed each change three times on
-	// average; rules of 77 teams, some KB packed, were most of what VMs told each other.
-	offerAbove = 1 << 10
+	// crossRegionPushers is how many VMs of a region push a change to another region. If
+	// changes were pushed to any VM, two of three copies, as many as there are VMs, would
+	// cross between regions.
+	crossRegionPushers = 4
+	// pushInterval bounds how often a VM pushes, so that changes in quick succession
+	// are sent together.
+	pushInterval = 150 * time.Millisecond
+	// pushWindow is how far back the pushed changes reach. A VM whose copy is older
+	// cannot apply them, and pulls from a reader within this time.
+	pushWindow = 2 * time.Second
+	// maxPushedRows bounds the rows of one push. More rows are a whole table, which the
+	// VMs that lack it pull themselves.
+	maxPushedRows = 64
+	// exchangeAbove is the size in bytes above which changes are offered in an exchange:
+	// a VM that lacks them takes them, at the price of one round trip. Each VM is pushed a
+	// change three times on average, and rules of 77 teams, some KB packed, were most of
+	// the traffic between VMs.
+	exchangeAbove = 1 << 10
 )
 
-// pusher hands changes of this VM's copies to others as soon as they are known.
+// pusher pushes changes of this VM's copies to others as soon as they are known.
 //
-// VMs that only ask hear of a change one after the other: with two watchers, of
-// which one may know it a second before the other, the last of 80 VMs heard of a
+// With pulls alone, VMs learn of a change one after the other: with two readers, of
+// which one may know it a second before the other, the last of 80 VMs received a
 // configuration about two seconds after the first.
 type pusher struct {
 	vm *VM
 	// heads are the versions of the copies at past moments, oldest first.
 	heads []pastHeads
-	// sent are the newest rows that were handed over, by table.
-	sent map[string]uint64
+	// pushed are the newest versions of rows that were pushed, by table.
+	pushed map[string]uint64
 }
 
-// pastHeads is how far the copies were at a moment.
+// pastHeads are the versions of the copies at a moment.
 type pastHeads struct {
 	at       time.Time
 	versions map[string]uint64
 }
 
-// loop pushes what has changed.
+// loop pushes changes until ctx ends.
 func (p *pusher) loop(ctx context.Context) {
-	p.sent = make(map[string]uint64)
-	look := time.NewTicker(pushSpan / 2)
+	p.pushed = make(map[string]uint64)
+	look := time.NewTicker(pushWindow / 2)
 	defer look.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-p.vm.toPush:
-		case <-look.C: // How far the copies were has to be known without changes too.
+		case <-look.C: // Versions have to be recorded without changes too.
 		}
 		now := time.Now()
 		if deltas := p.changes(now); len(deltas) > 0 {
 			p.push(ctx, now, deltas)
 		}
-		if !lifecycle.Pause(ctx, pushEvery) {
+		if !lifecycle.Pause(ctx, pushInterval) {
 			return
 		}
 	}
 }
 
-// changes returns the deltas that have a row which was not handed over yet.
+// changes returns the deltas with a row that was not pushed yet.
 func (p *pusher) changes(now time.Time) []replica.Delta {
-	from := p.remember(now)
+	from := p.recordHeads(now)
 	var list []replica.Delta
 	for name, t := range p.vm.replicas {
-		if !t.Loaded() || t.NewestRowVersion() <= p.sent[name] {
+		if !t.Loaded() || t.NewestRowVersion() <= p.pushed[name] {
 			continue
 		}
-		first := p.sent[name] == 0
-		p.sent[name] = t.NewestRowVersion()
-		if d := t.Since(now, from[name]); !first && len(d.Rows) <= maxPushed {
+		first := p.pushed[name] == 0
+		p.pushed[name] = t.NewestRowVersion()
+		if d := t.Since(now, from[name]); !first && len(d.Rows) <= maxPushedRows {
 			list = append(list, d)
 		}
 	}
 	return list
 }
 
-// remember notes how far the copies are, and returns how far they were pushSpan
-// ago.
-func (p *pusher) remember(now time.Time) map[string]uint64 {
-	here := pastHeads{at: now, versions: make(map[string]uint64)}
+// recordHeads records the versions of the copies, and returns those of pushWindow ago.
+func (p *pusher) recordHeads(now time.Time) map[string]uint64 {
+	current := pastHeads{at: now, versions: make(map[string]uint64)}
 	for name, t := range p.vm.replicas {
-		here.versions[name] = t.Head(now).Version
+		current.versions[name] = t.Head(now).Version
 	}
-	p.heads = append(p.heads, here)
-	for len(p.heads) > 1 && now.Sub(p.heads[1].at) >= pushSpan {
+	p.heads = append(p.heads, current)
+	for len(p.heads) > 1 && now.Sub(p.heads[1].at) >= pushWindow {
 		p.heads = p.heads[1:]
 	}
 	return p.heads[0].versions
 }
 
-// push starts handing deltas to some other VMs, or an exchange of copies with them.
+// push starts pushing deltas to some other VMs, or an exchange of copies with them.
 func (p *pusher) push(ctx context.Context, now time.Time, deltas []replica.Delta) {
 	receivers := p.receivers(now)
-	if size(deltas) > offerAbove {
+	if encodedSize(deltas) > exchangeAbove {
 		p.vm.startExchanges(ctx, receivers, len(receivers), nil)
 		return
 	}
 	for _, addr := range receivers {
 		p.vm.background.Add(1)
-		go (&handing{vm: p.vm, addr: addr, deltas: deltas}).run(ctx)
+		go (&handoff{vm: p.vm, addr: addr, deltas: deltas}).run(ctx)
 	}
 }
 
-// size is how many bytes the rows of deltas take on their way, about.
-func size(deltas []replica.Delta) int {
+// encodedSize is the approximate size of the rows of deltas in bytes, as sent.
+func encodedSize(deltas []replica.Delta) int {
 	n := 0
 	for _, d := range deltas {
 		for _, r := range d.Rows {
@@ -135,8 +136,8 @@
 	return n
 }
 
-// receivers are the addresses of the VMs that changes are handed to. A watcher, which
-// hears of a change first, always hands it on to another region.
+// receivers returns the addresses of the VMs that changes are pushed to. A reader, which
+// is the first to have a change, always pushes it to another region.
 func (p *pusher) receivers(now time.Time) []string {
 	var near, far []string
 	cfg := p.vm.cfg.Load()
@@ -152,7 +153,7 @@
 	for _, list := range [][]string{near, far} {
 		rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	}
-	crosses := len(p.vm.watchers(now)) == 0 || rand.IntN(len(near)+1) < pushCrossings
+	crosses := len(p.vm.readerAddrs(now)) == 0 || rand.IntN(len(near)+1) < crossRegionPushers
 	if !crosses && len(near) >= pushFanout {
 		return near[:pushFanout]
 	}
@@ -160,17 +161,17 @@
 	return append(near, far[:min(pushFanout-len(near), len(far))]...)
 }
 
-// handing hands changes to one VM.
-type handing struct {
+// handoff pushes changes to one VM.
+type handoff struct {
 	vm     *VM
 	addr   string
 	deltas []replica.Delta
 }
 
-// run hands them over once: a VM that is missed asks by itself.
-func (h *handing) run(ctx context.Context) {
+// run pushes once: a VM that is missed pulls the changes itself.
+func (h *handoff) run(ctx context.Context) {
 	defer h.vm.background.Done()
-	if err := h.vm.peers.HandTables(ctx, h.addr, h.deltas); err != nil {
+	if err := h.vm.peerClient.HandTables(ctx, h.addr, h.deltas); err != nil {
 		h.vm.log.WithFields(logrus.Fields{"Addr": h.addr, "Err": err}).Debug("PushFailed")
 	}
 }
--- a/io/entry/push_test.go
+++ b/io/entry/push_test.go
@@ -20,17 +20,17 @@
 	"auburnlatch/schema"
 )
 
-// quietPeer is a live VM that never lacks anything it is told of in an exchange,
-// and notes what it is handed of itself.
-type quietPeer struct {
+// upToDatePeer is a live VM that claims to have all tables in an exchange, and records the
+// changes that are pushed to it.
+type upToDatePeer struct {
 	addr string
 
 	mu    sync.Mutex
 	syncs int
-	seen  map[string]uint64 // How far the newest changes handed over reach, by table.
+	seen  map[string]uint64 // The newest version received, by table.
 }
 
-func (p *quietPeer) Sync(context.Context, *schema.SyncRequest) (*schema.SyncReply, error) {
+func (p *upToDatePeer) Sync(context.Context, *schema.SyncRequest) (*schema.SyncReply, error) {
 	p.mu.Lock()
 	p.syncs++
 	p.mu.Unlock()
@@ -46,11 +46,11 @@
 	}, nil
 }
 
-func (p *quietPeer) Compare(context.Context, *schema.CompareRequest) (*schema.Delta, error) {
+func (p *upToDatePeer) Compare(context.Context, *schema.CompareRequest) (*schema.Delta, error) {
 	return &schema.Delta{}, nil
 }
 
-func (p *quietPeer) Hand(_ context.Context, m *schema.SyncReply) (*schema.Ack, error) {
+func (p *upToDatePeer) Hand(_ context.Context, m *schema.SyncReply) (*schema.Ack, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, d := range m.GetTables() {
@@ -65,48 +65,46 @@
 	return &schema.Ack{}, nil
 }
 
-// known reports whether the VM under test has heard of this one: an exchange has
-// followed the one that told it.
-func (p *quietPeer) known() bool {
+// known reports whether the VM under test knows this one: an exchange has followed the one
+// in which it introduced itself.
+func (p *upToDatePeer) known() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.syncs >= 2
 }
 
-func (p *quietPeer) handed(table string) uint64 {
+func (p *upToDatePeer) pushed(table string) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.seen[table]
 }
 
-// Of 80 VMs two read the platform, and one of these may know a configuration a
-// second before the other. The rest asked one of the two at a time, so the last
-// had it two and a half seconds after the first, and served by the old one for
-// longer than was promised. A VM that learns of a change must tell others
-// without being asked.
-func TestChangeIsHandedOnUnasked(t *testing.T) {
-	p, v, peer := startBesideQuietPeer(t)
+// A VM must push changes to others without being asked. With pulls alone, the last of 80 VMs
+// got a configuration two and a half seconds after the first, as one of the two readers may
+// know it a second before the other. It served by the old one for longer than promised.
+func TestChangeIsPushed(t *testing.T) {
+	p, v, peer := startBesideUpToDatePeer(t)
 	for version := uint64(2); version < 5; version++ {
 		p.set(entry.TableRules, "config", config(version))
 		row := p.newest()
-		eventually(t, "the configuration is handed on", func() bool { return peer.handed(entry.TableRules) >= row })
+		eventually(t, "the configuration is pushed", func() bool { return peer.pushed(entry.TableRules) >= row })
 	}
 	p.remove(entry.TableTargets, "t")
 	row := p.newest()
-	eventually(t, "the upstream's leaving is handed on", func() bool { return peer.handed(entry.TableTargets) >= row })
+	eventually(t, "the upstream's leaving is pushed", func() bool { return peer.pushed(entry.TableTargets) >= row })
 	if !v.Ready() {
 		t.Error("the VM is not ready any more")
 	}
 }
 
-// startBesideQuietPeer starts a VM that knows another, which lacks nothing.
-func startBesideQuietPeer(t *testing.T) (*fakePlatform, *runningVM, *quietPeer) {
+// startBesideUpToDatePeer starts a VM that knows an upToDatePeer.
+func startBesideUpToDatePeer(t *testing.T) (*fakePlatform, *runningVM, *upToDatePeer) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	peer := &quietPeer{addr: l.Addr().String(), seen: map[string]uint64{}}
+	peer := &upToDatePeer{addr: l.Addr().String(), seen: map[string]uint64{}}
 	mux := drpcmux.New()
 	if err := schema.DRPCRegisterReplica(mux, peer); err != nil {
 		t.Fatal(err)
@@ -122,11 +120,11 @@
 	return p, v, peer
 }
 
-// Rules of 77 teams are some KB, and each VM was handed each version of them three times,
-// though it had it after the first: at 300 VMs a change of one key was 9 MB. Whoever has
-// a version is not handed it again; small changes go out unasked all the same.
-func TestLargeChangeIsNotHandedToWhoHasIt(t *testing.T) {
-	p, v, peer := startBesideQuietPeer(t)
+// A large change must not be pushed to a VM that has it. Rules of 77 teams are some KB, and
+// each VM received each version three times: at 300 VMs a change of one key cost 9 MB. Small
+// changes are still pushed unasked.
+func TestLargeChangeIsNotPushedTwice(t *testing.T) {
+	p, v, peer := startBesideUpToDatePeer(t)
 	large := config(9)
 	r := rand.New(rand.NewPCG(1, 2))
 	for i := range 400 {
@@ -139,8 +137,8 @@
 	eventually(t, "the rules are in force", func() bool { return v.Figures(time.Now()).ConfigVersion == large.Version })
 	register(p, "later", "127.0.0.1:1")
 	change := p.newest()
-	eventually(t, "a later change is handed on", func() bool { return peer.handed(entry.TableTargets) >= change })
-	if got := peer.handed(entry.TableRules); got >= row {
-		t.Error("rules of some KB were handed to a VM that has them")
+	eventually(t, "a later change is pushed", func() bool { return peer.pushed(entry.TableTargets) >= change })
+	if got := peer.pushed(entry.TableRules); got >= row {
+		t.Error("rules of some KB were pushed to a VM that has them")
 	}
 }
--- a/io/entry/quarantine.go
+++ b/io/entry/quarantine.go
@@ -15,8 +15,8 @@
 	"auburnlatch/io/quarantine"
 )
 
-// identity returns what a request is recognized by when it comes again: at another VM,
-// under another ID, from another address of its caller.
+// identity returns the identity by which a retried request is recognized: at another VM,
+// with another ID, from another address of its caller.
 func (v *VM) identity(req *request) *poison.Request {
 	r := req.http
 	host, _, err := net.SplitHostPort(r.Host)
@@ -30,8 +30,8 @@
 	return poison.NewRequest(c)
 }
 
-// place chooses an upstream, for a trial one at which no other suspect is under way.
-func (v *VM) place(req *request, tried []string, trial *poison.Trial) (balance.Lease, error) {
+// acquire chooses an upstream. For a trial it avoids those at which another suspect is in flight.
+func (v *VM) acquire(req *request, tried []string, trial *poison.Trial) (balance.Lease, error) {
 	avoid := trial.Avoid(time.Now())
 	lease, err := v.choose(req, tried, avoid)
 	if err != nil && len(avoid) > 0 && !trial.Alone {
@@ -43,58 +43,58 @@
 	return lease, err
 }
 
-// unanswered notes that an upstream brought no answer to a request.
+// unanswered records that an upstream did not respond to a request.
 func (v *VM) unanswered(req *request, lease balance.Lease, began time.Time, e *verdict.Error) {
-	sent := quarantine.Attempt{Upstream: incarnation(lease.Target), Began: began}
+	sent := quarantine.Attempt{Upstream: upstreamOf(lease.Target), Began: began}
 	sent.Lapsed = !v.targets.has(sent.Upstream.ID)
-	v.guard.Unanswered(v.work, time.Now(), req.identity, sent, e)
+	v.guard.Unanswered(v.workCtx, time.Now(), req.identity, sent, e)
 }
 
-func incarnation(t *target.Target) quarantine.Upstream {
+func upstreamOf(t *target.Target) quarantine.Upstream {
 	return quarantine.Upstream{ID: t.Incarnation(), Addr: t.Addr}
 }
 
-func incarnations(list []*target.Target) []quarantine.Upstream {
+func upstreamsOf(list []*target.Target) []quarantine.Upstream {
 	out := make([]quarantine.Upstream, 0, len(list))
 	for _, t := range list {
-		out = append(out, incarnation(t))
+		out = append(out, upstreamOf(t))
 	}
 	return out
 }
 
-// longAnswer is what of an answer is read while it is passed on.
-type longAnswer struct {
+// streamedResponse is the part of a response that is read while it is passed on.
+type streamedResponse struct {
 	io.ReadCloser
 	vm    *VM
 	req   *request
 	lease balance.Lease
 	began time.Time
-	over  bool
+	done  bool
 }
 
-// Read implements io.Reader. It notes an upstream that ends before its answer does.
-func (a *longAnswer) Read(p []byte) (int, error) {
-	n, err := a.ReadCloser.Read(p)
-	if err == nil || a.over {
+// Read implements io.Reader. It records an upstream that ends before its response does.
+func (r *streamedResponse) Read(p []byte) (int, error) {
+	n, err := r.ReadCloser.Read(p)
+	if err == nil || r.done {
 		return n, err
 	}
-	a.over = true
+	r.done = true
 	if err == io.EOF {
-		a.vm.guard.Served(a.vm.work, time.Now(), a.req.identity, quarantine.Attempt{Upstream: incarnation(a.lease.Target), Began: a.began})
+		r.vm.guard.Served(r.vm.workCtx, time.Now(), r.req.identity, quarantine.Attempt{Upstream: upstreamOf(r.lease.Target), Began: r.began})
 	} else {
-		a.vm.unanswered(a.req, a.lease, a.began, broken(a.req.http.Context(), err))
+		r.vm.unanswered(r.req, r.lease, r.began, truncatedError(r.req.http.Context(), err))
 	}
 	return n, err
 }
 
-// fleet is what the quarantine knows of the other VMs.
+// fleet is the quarantine's view of the other VMs.
 type fleet struct{ *VM }
 
 // Mates implements quarantine.Fleet.
 func (f fleet) Mates(now time.Time) []string {
 	var addrs []string
 	for _, m := range f.members.Peers(now) {
-		if m.State != member.Gone && now.Sub(m.Heard) < forgetAfter {
+		if m.State != member.Gone && now.Sub(m.Heard) < silentRetention {
 			addrs = append(addrs, m.VM.Address.Peer)
 		}
 	}
@@ -106,7 +106,7 @@
 
 // ZoneLive implements quarantine.Fleet.
 func (f fleet) ZoneLive(now time.Time) []string {
-	return append(namesOf(f.zoneMates(now)), f.cfg.Load().Name)
+	return append(namesOf(f.zonePeers(now)), f.cfg.Load().Name)
 }
 
 // HearsAllZones implements quarantine.Fleet.
@@ -114,7 +114,7 @@
 	newest := make(map[string]time.Duration)
 	for _, m := range f.members.Peers(now) {
 		age := now.Sub(m.Heard)
-		if m.State == member.Gone || age >= forgetAfter {
+		if m.State == member.Gone || age >= silentRetention {
 			continue
 		}
 		if old, ok := newest[m.VM.Zone]; !ok || age < old {
--- a/io/entry/register_test.go
+++ b/io/entry/register_test.go
@@ -35,7 +35,7 @@
 	return len(p.vms)
 }
 
-// fleet starts n VMs on one platform; the first is the others' seed.
+// fleet starts n VMs on one platform; the first is the seed of the others.
 func fleet(t *testing.T, p *fakePlatform, n int, change func(*settings.Entry)) (vms []*runningVM, calls []*countingPlatform) {
 	t.Helper()
 	seed := ""
@@ -55,9 +55,9 @@
 	return vms, calls
 }
 
-// All VMs of a large fleet are started for the first time. Each read all rules and all
-// upstreams from the platform: 2,000 calls for 195 VMs, a day's worth for the two that
-// read later on. The seed reads, and the others have its copies before callers come.
+// When all VMs of a large fleet start for the first time, only the seed must read the
+// platform, and the others must get its copies before callers come. When each VM read all
+// rules and upstreams, 195 VMs made 2,000 calls, as many as the two readers make in a day.
 func TestFirstStartReadsThePlatformOnce(t *testing.T) {
 	p := newPlatform()
 	p.set(entry.TableRules, "config", config(1))
@@ -66,16 +66,16 @@
 	for i, v := range vms {
 		ready(t, v)
 		if n := calls[i].reads.Load(); i > 0 && n > 0 {
-			t.Errorf("VM %d has read %d tables from the platform", i, n)
+			t.Errorf("VM %d read %d tables from the platform", i, n)
 		}
 	}
 	if n := calls[0].reads.Load(); n != 2 {
-		t.Errorf("the seed has read %d tables, want both once", n)
+		t.Errorf("the seed read %d tables, want both once", n)
 	}
 }
 
-// All VMs start for the first time, and the seed that they were given is not there.
-// They must read the platform themselves, and soon enough for the first callers.
+// All VMs start for the first time and the given seed does not exist. They must read the
+// platform themselves, soon enough for the first callers.
 func TestFirstStartWithoutSeeds(t *testing.T) {
 	p := newPlatform()
 	p.set(entry.TableRules, "config", config(1))
@@ -84,15 +84,15 @@
 	ready(t, v)
 }
 
-// Each VM of a fleet registered its address and read all others': two calls a VM, and
-// all of a fleet that starts anew at once. A few registered ones are enough for a VM
-// whose seeds are stale.
+// Only a few VMs must register: that is enough for a VM whose seeds are stale. If each VM
+// registered its address and read all others', it would make two calls, and a restarted
+// fleet would make them all at once.
 func TestFewVMsRegister(t *testing.T) {
 	p := newPlatform()
 	p.set(entry.TableRules, "config", config(1))
 	register(p, "i-1", startUpstream(t, func(http.ResponseWriter, *http.Request) {}).addr())
 	vms, calls := fleet(t, p, 8, nil)
-	eventually(t, "all hear of each other", func() bool {
+	eventually(t, "all know each other", func() bool {
 		for _, v := range vms {
 			if v.Figures(time.Now()).LiveVMs != len(vms) {
 				return false
@@ -101,7 +101,7 @@
 		return true
 	})
 	eventually(t, "some have registered", func() bool { return p.registered() >= 3 })
-	// The seed was alone when it started, so it may be a fourth.
+	// The seed was isolated when it started, so it may be a fourth.
 	if n := p.registered(); n > 4 {
 		t.Errorf("%d of %d VMs have registered", n, len(vms))
 	}
@@ -112,7 +112,7 @@
 		}
 	}
 	if idle < len(vms)-4 {
-		t.Errorf("only %d of %d VMs have not read who is registered", idle, len(vms))
+		t.Errorf("only %d of %d VMs have not read the registered addresses", idle, len(vms))
 	}
 	late := startVM(t, "late", p, func(cfg *settings.Entry) { cfg.Seeds = []string{freeAddr(t)} })
 	eventually(t, "a VM with a stale seed finds the others", func() bool {
--- a/io/entry/serve.go
+++ b/io/entry/serve.go
@@ -18,29 +18,28 @@
 )
 
 const (
-	// bodyBuffer is how much of a request's body is taken in before it is sent
-	// on, in bytes: all of a usual upload, so that it can be offered to another
-	// upstream after a refusal, and so that a caller that breaks off in its midst
-	// costs no upstream a slot.
+	// bodyBuffer is how much of a request's body is buffered before it is sent on, in
+	// bytes: all of a usual upload. So the request can be sent to another upstream after a
+	// refusal, and a caller that disconnects while it sends the body takes no upstream's slot.
 	bodyBuffer = 1 << 20
-	// answerBuffer is how much of an answer is taken in before it is passed on,
-	// in bytes: an answer that breaks off within it can be had from another
-	// upstream, or told as a failure rather than as a cut connection.
-	answerBuffer = 256 << 10
-	// notReadyWait is when to come back to a VM that knows no rules yet: about
-	// what a start takes.
-	notReadyWait = 500 * time.Millisecond
-	// holdAtStart is how long after its start a VM lets requests wait for its first
-	// copies of the rules and of the upstreams: three reads across regions, as 900
-	// upstreams are two pages, and what they take to be decoded: 0.31 s with one page,
-	// half a second with two, worked out. Refused instead, 250 callers came back half a
-	// second later, on new connections. A VM that gets no copies in that time refuses.
-	holdAtStart = 700 * time.Millisecond
-	// defaultDeadline holds where neither the caller nor the route says one.
+	// responseBuffer is how much of a response is buffered before it is passed on, in bytes:
+	// if a response is truncated within it, the request can be retried at another upstream,
+	// or the caller gets an error status rather than a cut connection.
+	responseBuffer = 256 << 10
+	// notReadyRetryAfter is when to retry at a VM that has no rules yet: about the
+	// duration of a start.
+	notReadyRetryAfter = 500 * time.Millisecond
+	// maxStartWait is how long after its start a VM holds requests until its first copies of
+	// the rules and of the upstreams are there. It covers three reads across regions, as 900
+	// upstreams are two pages, and decoding them: by calculation 0.31 s with one page and half
+	// a second with two. When requests were refused instead, 250 callers retried half a second
+	// later, on new connections. A VM that gets no copies in that time refuses.
+	maxStartWait = 700 * time.Millisecond
+	// defaultDeadline applies if neither the caller nor the route sets one.
 	defaultDeadline = 30 * time.Second
 )
 
-// request is a caller's request on its way.
+// request is a caller's request in progress.
 type request struct {
 	route    *route.Route
 	service  string
@@ -50,32 +49,32 @@
 	deadline time.Time
 	http     *http.Request
 	body     []byte
-	rest     io.Reader // What the buffer did not take.
+	rest     io.Reader // What exceeds the buffer.
 	length   int64
-	// identity is what the request is recognized by when it comes again.
+	// identity is how the request is recognized when it is retried.
 	identity *poison.Request
-	// team is whose key the request came with; nil: it needs none.
+	// team is the team of the request's key, or nil if it needs none.
 	team *team.Team
-	// keyPrint tells the key from others.
+	// keyPrint is the fingerprint of the key.
 	keyPrint string
-	// rulesAge is how long ago the rules certainly were the newest when the request was read.
+	// rulesAge is how long ago the rules were verified to be the newest, as of reading the request.
 	rulesAge time.Duration
 }
 
 // idempotent reports whether the request may run more than once.
 func (r *request) idempotent() bool { return r.route.Kind == route.Idempotent }
 
-// ServeHTTP takes in one request of a caller.
+// ServeHTTP serves one request of a caller.
 func (v *VM) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	v.inFlight.Add(1)
 	defer v.inFlight.Add(-1)
-	conn := callerOf(r)
-	begun := conn.begin(r)
-	defer conn.end()
+	conn := connOf(r)
+	early := conn.beginServing(r)
+	defer conn.endServing()
 	var res result
-	if begun != nil {
-		defer begun.release()
-		res = begun.wait()
+	if early != nil {
+		defer early.release()
+		res = early.wait()
 	} else {
 		res = v.serve(r.Context(), r)
 		defer res.stop()
@@ -89,21 +88,21 @@
 		return
 	}
 	v.counts.served(time.Since(res.request.started))
-	v.requests.done(v, res)
-	res.answer.relay(w)
+	v.requests.answered(v, res)
+	res.response.relay(w)
 }
 
-// serve carries a request and returns what became of it.
+// serve processes a request and returns its outcome.
 func (v *VM) serve(ctx context.Context, r *http.Request) result {
 	req, e := v.admit(r)
 	res := result{request: req, err: e, stop: func() {}}
 	if e == nil {
 		ctx, res.stop = context.WithDeadline(ctx, req.deadline)
-		release := context.AfterFunc(v.work, res.stop)
-		res.answer, res.err = v.carry(ctx, req)
+		release := context.AfterFunc(v.workCtx, res.stop)
+		res.response, res.err = v.proxy(ctx, req)
 		release()
-		if e = res.err; e != nil && e.Reason == verdict.ReasonCanceled && v.work.Err() != nil {
-			res.err = verdict.Wrap(e, e.Verdict, verdict.ReasonLeaving, comeBack)
+		if e = res.err; e != nil && e.Reason == verdict.ReasonCanceled && v.workCtx.Err() != nil {
+			res.err = verdict.Wrap(e, e.Verdict, verdict.ReasonLeaving, shedRetryAfter)
 		}
 	}
 	res.readyAt = time.Now()
@@ -113,21 +112,21 @@
 	return res
 }
 
-// admit finds a request's route and takes its body in.
+// admit finds a request's route and reads its body.
 func (v *VM) admit(r *http.Request) (*request, *verdict.Error) {
 	req := &request{started: time.Now(), http: r, id: r.Header.Get(v.protocol.RequestID)}
 	v.awaitCopies(r.Context(), req.started)
 	req.rulesAge = v.rulesAge(clock.Boot())
 	table := v.table.Load()
 	if table == nil || !v.targets.known() {
-		return req, verdict.New(verdict.NotRun, verdict.ReasonNotReady, notReadyWait)
+		return req, verdict.New(verdict.NotRun, verdict.ReasonNotReady, notReadyRetryAfter)
 	}
 	rt := table.Find(r.Host, r.URL.EscapedPath())
 	if rt == nil {
 		return req, v.unknown(req, table, verdict.ReasonNoService)
 	}
 	req.route = rt
-	if e := v.identify(req, table); e != nil {
+	if e := v.authenticate(req, table); e != nil {
 		return req, e
 	}
 	limits := table.Config.Limits
@@ -142,15 +141,15 @@
 	if e := v.limit(req); e != nil {
 		return req, e
 	}
-	req.service = rt.Pick(req.key, &v.picks)
+	req.service = rt.Pick(req.key, &v.splits)
 	req.identity = v.identity(req)
 	return req, nil
 }
 
-// awaitCopies waits, right after the start, for the copies that requests are carried by
-// and for the bans, which a request that ends upstreams would else get past.
+// awaitCopies waits, right after the start, for the first copies of the tables and for the
+// bans: without the bans, a banned poison request would be let through.
 func (v *VM) awaitCopies(ctx context.Context, now time.Time) {
-	left := holdAtStart - now.Sub(v.started)
+	left := maxStartWait - now.Sub(v.started)
 	if left <= 0 || v.table.Load() != nil && v.targets.known() && v.guard.Ledger().Synced() {
 		return
 	}
@@ -166,7 +165,7 @@
 	}
 }
 
-// deadline is the earlier of the caller's and the route's.
+// deadline returns the earlier of the caller's deadline and the route's.
 func (v *VM) deadline(req *request) time.Time {
 	left := defaultDeadline
 	if ms, err := strconv.ParseFloat(req.http.Header.Get(v.protocol.DeadlineMillis), 64); err == nil && ms > 0 && ms < math.MaxInt32 {
@@ -178,7 +177,7 @@
 	return req.started.Add(left)
 }
 
-// read takes the body in, up to the buffer.
+// read reads the body, up to the size of the buffer.
 func (r *request) read(limit int64) error {
 	r.length = r.http.ContentLength
 	if r.http.Body == nil || r.http.Body == http.NoBody || r.length == 0 {
@@ -206,8 +205,8 @@
 	return nil
 }
 
-// status returns the status code by which a failure is told. 503 promises that
-// the request has not run; 502 and 504 promise nothing.
+// status returns the status code for an error. 503 guarantees that the request has not
+// run; 502 and 504 guarantee nothing.
 func status(e *verdict.Error) int {
 	switch {
 	case e.Reason == verdict.ReasonNoService:
@@ -227,13 +226,13 @@
 	}
 }
 
-// refuse tells a caller at once that its request was given up on.
+// refuse responds to a caller that its request failed.
 func (v *VM) refuse(w http.ResponseWriter, r *http.Request, req *request, e *verdict.Error) {
 	code := status(e)
 	v.counts.failed(e)
 	v.requests.refused(v, req, e, code)
 	if r.Context().Err() != nil {
-		panic(http.ErrAbortHandler) // The caller has left.
+		panic(http.ErrAbortHandler) // The caller has disconnected.
 	}
 	h := w.Header()
 	h.Set(forward.HeaderVerdict, e.Verdict.String())
--- a/io/entry/teams.go
+++ b/io/entry/teams.go
@@ -14,65 +14,66 @@
 )
 
 const (
-	// doubtAfter is the age of the rules above which an unknown key or route is not taken
-	// for one that is not there: 401 and 404 end a request for good.
-	doubtAfter = 4 * time.Second
-	// leaveLookups is the part of RevokeWithin after which a VM that is not sure of its
-	// rules takes no new callers.
-	leaveLookups = 0.8
-	// unsureWait is when to come back to a VM that is not sure of its rules: others may be,
-	// and this one asks them twice a second.
-	unsureWait = 500 * time.Millisecond
+	// maxAgeForUnknown is the age of the rules above which an unknown key or route may only
+	// be missing from this copy. It gets no 401 or 404 then, as those are final for callers.
+	maxAgeForUnknown = 4 * time.Second
+	// lapseFraction is the fraction of RevokeWithin after which a VM whose rules are not
+	// verified takes no new callers.
+	lapseFraction = 0.8
+	// unverifiedRetryAfter is when to retry at a VM whose rules are not verified: others'
+	// may be, and this VM asks them twice a second.
+	unverifiedRetryAfter = 500 * time.Millisecond
 )
 
-// ruledCopy is which copy of the rules is in force.
-type ruledCopy struct {
+// appliedRules identifies the copy of the rules that is in force.
+type appliedRules struct {
 	changes uint64
-	// asOf is the moment as of which that copy was the newest when it was taken into use.
+	// asOf is the moment as of which that copy was verified as the newest when it was applied.
 	asOf lease.Moment
 }
 
-// rulesAge is how long ago the rules in force certainly were the newest. The table of rules
-// has to be looked up after this was asked, and is then as new or newer.
+// rulesAge is how long ago the rules in force were verified to be the newest. Load the
+// table of rules only after this call, so that it is as new or newer.
 func (v *VM) rulesAge(now lease.Moment) time.Duration {
-	ruled := v.ruled.Load()
-	if ruled == nil {
+	applied := v.applied.Load()
+	if applied == nil {
 		return lease.Never
 	}
 	asOf, changes := v.replicas[TableRules].VerifiedAsOf()
-	if changes != ruled.changes {
-		asOf = ruled.asOf // The copy has changed since, and is not in force yet.
+	if changes != applied.changes {
+		asOf = applied.asOf // The copy has changed since, and is not in force yet.
 	}
 	return asOf.Age(now)
 }
 
-// strict reports whether keys are only admitted while the rules are certainly new.
+// strict reports whether keys are admitted only while the rules are verified to be recent.
 func (v *VM) strict(table *route.Table) bool {
 	return table != nil && table.Teams != nil && v.cfg.Load().RevokeWithin > 0
 }
 
-// lapsing reports whether this VM is, or soon will be, too long without certainty about
-// its rules to admit keys.
+// lapsing reports whether the rules of this VM have been unverified for too long to admit
+// keys, or soon will be.
 func (v *VM) lapsing() bool {
 	if !v.strict(v.table.Load()) {
 		return false
 	}
-	return v.rulesAge(clock.Boot()) > lifecycle.Share(v.cfg.Load().RevokeWithin, leaveLookups)
+	return v.rulesAge(clock.Boot()) > lifecycle.Share(v.cfg.Load().RevokeWithin, lapseFraction)
 }
 
-// identify finds the team of a request by its key. The table has been looked up after the
-// request's rulesAge was, and that after the request had been read.
+// authenticate finds the team of a request by its key. The caller has determined the
+// request's rulesAge after it read the request, and loaded the table after that.
 //
-// A key that was taken away must not admit a request sent later than RevokeWithin after
-// that was acknowledged, also at a VM that is cut off, was suspended, or hears of the rules
-// from others: see package lease for why looking at the age once, here, is enough. The
-// request is then bound to what it was when its caller sent it, however long it waits.
-func (v *VM) identify(req *request, table *route.Table) *verdict.Error {
+// A revoked key must not admit a request that is sent more than RevokeWithin after the
+// revocation was acknowledged, even at a VM that is cut off, was suspended, or gets the
+// rules from other VMs. Package lease explains why it is enough to check the age once,
+// here. The decision is bound to the time at which the caller sent the request, however
+// long the request then waits.
+func (v *VM) authenticate(req *request, table *route.Table) *verdict.Error {
 	if table.Teams == nil || req.route.Unauthenticated {
 		return nil
 	}
 	if v.strict(table) && req.rulesAge > v.cfg.Load().RevokeWithin {
-		return verdict.New(verdict.NotRun, verdict.ReasonNotSure, unsureWait)
+		return verdict.New(verdict.NotRun, verdict.ReasonNotSure, unverifiedRetryAfter)
 	}
 	key, err := team.Bearer(req.http.Header.Values("Authorization"))
 	if err != nil {
@@ -88,13 +89,13 @@
 
 // unknown returns the error of a request whose key or route is not in the rules.
 func (v *VM) unknown(req *request, table *route.Table, reason verdict.Reason) *verdict.Error {
-	if v.strict(table) && req.rulesAge > doubtAfter {
-		return verdict.New(verdict.NotRun, verdict.ReasonNotSure, unsureWait)
+	if v.strict(table) && req.rulesAge > maxAgeForUnknown {
+		return verdict.New(verdict.NotRun, verdict.ReasonNotSure, unverifiedRetryAfter)
 	}
 	return verdict.New(verdict.NotRun, reason, 0)
 }
 
-// limit takes a request out of its team's limit.
+// limit charges a request to its team's limit.
 func (v *VM) limit(req *request) *verdict.Error {
 	if wait, ok := v.limits.Take(time.Now(), req.team); !ok {
 		return verdict.New(verdict.NotRun, verdict.ReasonOverLimit, wait)
@@ -102,8 +103,8 @@
 	return nil
 }
 
-// setTeam says in a request's header whose it is, whatever its caller said of that under
-// any spelling, and takes the caller's key out.
+// setTeam sets a request's team in its header. It removes the caller's key, and any value
+// that the caller set for the team, under any spelling of the field's name.
 func setTeam(h http.Header, field string, table *route.Table, t *team.Team) {
 	if field == "" || table.Teams == nil {
 		return
--- a/io/entry/teams_test.go
+++ b/io/entry/teams_test.go
@@ -14,7 +14,7 @@
 	"auburnlatch/io/settings"
 )
 
-// gotHeaders keeps the headers that an upstream got, by request.
+// gotHeaders records the headers that an upstream received, by request.
 type gotHeaders struct {
 	mu   sync.Mutex
 	list map[string]http.Header
@@ -36,7 +36,7 @@
 	return g.list[id]
 }
 
-// withTeams is config with two teams, and a route /open/ that needs no key.
+// withTeams sets config with three teams, and a route /open/ that needs no key.
 func withTeams(p *fakePlatform, version uint64, keys ...string) {
 	cfg := config(version)
 	open := *cfg.Routes[0]
@@ -51,7 +51,7 @@
 	cfg.Limits = ratelimit.Bounds{Window: time.Second}
 }
 
-// startWithTeams starts a VM before an upstream, by rules with teams of which depot holds keys.
+// startWithTeams starts a VM and an upstream, with teams of which depot has keys.
 func startWithTeams(t *testing.T, keys ...string) (*fakePlatform, *gotHeaders, *runningVM) {
 	t.Helper()
 	p, got := newPlatform(), &gotHeaders{}
@@ -74,7 +74,7 @@
 	req.Header.Set("Object", id)
 	for _, f := range fields {
 		name, value, _ := strings.Cut(f, ": ")
-		req.Header[name] = append(req.Header[name], value) // Spelled as it is.
+		req.Header[name] = append(req.Header[name], value) // Without canonicalization.
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -84,8 +84,8 @@
 	return resp.StatusCode, resp.Header
 }
 
-// A caller's key decides which team an upstream is told, whatever the caller says of that,
-// and goes no further.
+// A caller's key must decide which team an upstream sees, whatever team the caller sets, and
+// must not be forwarded.
 func TestTeamOfARequest(t *testing.T) {
 	_, got, v := startWithTeams(t, "key-one", "key-two")
 	for i, tc := range []struct {
@@ -134,21 +134,21 @@
 	defer v.lines.mu.Unlock()
 	for _, key := range []string{"key-one", "key-two", "key-three"} {
 		if strings.Contains(v.lines.buf.String(), key) {
-			t.Errorf("the log tells key %s", key)
+			t.Errorf("the log contains key %s", key)
 		}
 	}
 }
 
-// A VM is cut off from the platform and from all others, and a key is taken away. A caller
-// who knows the VM sends requests with it on and on: none that is sent later than
-// RevokeWithin after that runs. What needs no key is served on, and when the VM is sure again
-// it serves the key that is left.
-func TestKeyTakenAwayAtAVMThatIsCutOff(t *testing.T) {
+// A VM is cut off from the platform and from all other VMs, and a key is revoked. A caller that
+// knows the VM keeps sending requests with it. None that is sent more than RevokeWithin after
+// the revocation may run. Requests that need no key must still be served, and the remaining key
+// must be served once the VM has verified its rules again.
+func TestKeyRevokedAtIsolatedVM(t *testing.T) {
 	p, got, v := startWithTeams(t, "kept", "taken")
 	if status, _ := v.get(t, "/get/", "before", "Authorization: Bearer taken"); status != 200 {
 		t.Fatalf("before: %d", status)
 	}
-	p.setAway(true)
+	p.setUnavailable(true)
 	withTeams(p, 2, "kept")
 	taken := time.Now()
 	var last int
@@ -156,10 +156,10 @@
 		id, sent := fmt.Sprint("cut", n), time.Now()
 		status, h := v.get(t, "/get/", id, "Authorization: Bearer taken")
 		if last = status; status == 200 && sent.Sub(taken) > v.cfg.RevokeWithin {
-			t.Fatalf("sent %v after the key was taken away, and ran", sent.Sub(taken))
+			t.Fatalf("sent %v after the key was revoked, and ran", sent.Sub(taken))
 		}
 		if status != 200 && (status != 503 || h.Get("Retry-After") == "" || got.of(id) != nil) {
-			t.Fatalf("%d, Retry-After %q, ran %v; want a true refusal", status, h.Get("Retry-After"), got.of(id) != nil)
+			t.Fatalf("%d, Retry-After %q, ran %v; want a refusal that did not run", status, h.Get("Retry-After"), got.of(id) != nil)
 		}
 		<-time.After(20 * time.Millisecond)
 	}
@@ -167,28 +167,28 @@
 		t.Errorf("at the end: %d, want 503", last)
 	}
 	if v.Ready() {
-		t.Error("it is ready, and can judge no key")
+		t.Error("it is ready, but cannot verify keys")
 	}
 	if status, _ := v.get(t, "/open/", "open"); status != 200 {
 		t.Errorf("a route without keys: %d", status)
 	}
-	p.setAway(false)
-	eventually(t, "the key that is left is served", func() bool {
+	p.setUnavailable(false)
+	eventually(t, "the remaining key is served", func() bool {
 		status, _ := v.get(t, "/get/", "after", "Authorization: Bearer kept")
 		return status == 200
 	})
 	if status, _ := v.get(t, "/get/", "after-taken", "Authorization: Bearer taken"); status != 401 {
-		t.Errorf("the key that was taken away: %d", status)
+		t.Errorf("the revoked key: %d", status)
 	}
 }
 
-// The platform turns a VM away that hears another one, which the platform serves: it is sure
-// of its rules by what that one answers, and takes over what changes.
-func TestKeysAtAVMThatThePlatformTurnsAway(t *testing.T) {
-	shared, _, heard := startWithTeams(t, "kept", "taken")
-	away := newPlatform()
-	away.setAway(true)
-	v := startVM(t, "vm-b", away, func(cfg *settings.Entry) { strict(cfg); cfg.Seeds = []string{heard.cfg.PeerAddr} })
+// The platform refuses a VM that reaches another one, which the platform serves. It must verify
+// its rules through that VM, and receive changes from it.
+func TestKeysAtVMRefusedByPlatform(t *testing.T) {
+	shared, _, neighbor := startWithTeams(t, "kept", "taken")
+	refusing := newPlatform()
+	refusing.setUnavailable(true)
+	v := startVM(t, "vm-b", refusing, func(cfg *settings.Entry) { strict(cfg); cfg.Seeds = []string{neighbor.cfg.PeerAddr} })
 	ready(t, v)
 	for n := range 130 {
 		if status, _ := v.get(t, "/get/", fmt.Sprint("turned", n), "Authorization: Bearer taken"); status != 200 {
@@ -197,14 +197,13 @@
 		<-time.After(30 * time.Millisecond)
 	}
 	withTeams(shared, 2, "kept")
-	eventually(t, "the key that was taken away is refused", func() bool {
+	eventually(t, "the revoked key is refused", func() bool {
 		status, _ := v.get(t, "/get/", "taken", "Authorization: Bearer taken")
 		return status == 401
 	})
 }
 
-// A team asks for more than its limit: what is over is refused with a time to come back,
-// and has not run.
+// A team exceeds its limit. The excess must be refused with a Retry-After, and must not have run.
 func TestTeamOverItsLimit(t *testing.T) {
 	_, got, v := startWithTeams(t, "k")
 	over := 0
--- a/io/entry/throttle_test.go
+++ b/io/entry/throttle_test.go
@@ -15,13 +15,13 @@
 	"auburnlatch/io/settings"
 )
 
-// limitedUpstream is an upstream that names a limit and notes what arrives.
+// limitedUpstream is an upstream that sets a limit and records its requests.
 type limitedUpstream struct {
 	*upstreamServer
 	limit atomic.Pointer[string]
 
 	mu       sync.Mutex
-	told     map[string]time.Time // By VM, when it was first answered with the limit.
+	notified map[string]time.Time // By VM, the time of its first response with the limit.
 	arrivals []arrival
 }
 
@@ -30,9 +30,9 @@
 	vm string
 }
 
-// startLimited starts one. Request IDs have to begin with the name of their VM and a slash.
+// startLimited starts one. Request IDs must begin with the name of their VM and a slash.
 func startLimited(t *testing.T) *limitedUpstream {
-	u := &limitedUpstream{told: make(map[string]time.Time)}
+	u := &limitedUpstream{notified: make(map[string]time.Time)}
 	u.upstreamServer = startUpstream(t, func(w http.ResponseWriter, r *http.Request) {
 		vm, _, _ := strings.Cut(r.Header.Get("Request-Id"), "/")
 		now := time.Now()
@@ -41,19 +41,19 @@
 		u.arrivals = append(u.arrivals, arrival{now, vm})
 		limit := u.limit.Load()
 		if limit == nil {
-			clear(u.told)
+			clear(u.notified)
 			return
 		}
-		if u.told[vm].IsZero() {
-			u.told[vm] = now
+		if u.notified[vm].IsZero() {
+			u.notified[vm] = now
 		}
 		w.Header().Set("Limit", *limit)
 	})
 	return u
 }
 
-// worst returns the most requests in any window of those that VMs sent half a second or more
-// after they had been told, and how many arrived in all since a moment.
+// worst returns the most requests in any window, among those that VMs sent half a second or
+// more after their first response with the limit, and the number of all requests after since.
 func (u *limitedUpstream) worst(window time.Duration, since time.Time) (worst, all int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -63,7 +63,7 @@
 			continue
 		}
 		all++
-		if told := u.told[a.vm]; !told.IsZero() && a.at.Sub(told) >= 500*time.Millisecond {
+		if first := u.notified[a.vm]; !first.IsZero() && a.at.Sub(first) >= 500*time.Millisecond {
 			bound = append(bound, a.at)
 		}
 	}
@@ -112,7 +112,7 @@
 	return vms, func() { cancel(); callers.Wait() }
 }
 
-// object asks for an object and returns the status; 0: there was no answer.
+// object requests an object and returns the status, or 0 if there was no response.
 func (v *runningVM) object(t *testing.T, id, object string) int {
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+v.cfg.FrontAddr+"/get/", nil)
 	if err != nil {
@@ -129,7 +129,7 @@
 	return resp.StatusCode
 }
 
-// startThrottled starts VMs, an upstream that can name a limit and three that name none.
+// startThrottled starts VMs, an upstream that can set a limit and three that set none.
 func startThrottled(t *testing.T, n int) (*limitedUpstream, []*runningVM) {
 	p := newPlatform()
 	cfg := config(1)
@@ -162,7 +162,7 @@
 	return limited, vms
 }
 
-// Guards against VMs that together send an upstream several times the limit that it names.
+// Guards against VMs that together exceed an upstream's limit several times.
 func TestUpstreamLimitHoldsOverAllVMs(t *testing.T) {
 	const limit, window = 5.0, 4 * time.Second
 	u, vms := startThrottled(t, 6)
@@ -170,7 +170,7 @@
 	callers := callVMs(ctx, t, vms, 50*time.Millisecond)
 	defer callers.Wait()
 	defer stop()
-	<-time.After(4 * time.Second) // VMs that have just started take no part of what all share.
+	<-time.After(4 * time.Second) // VMs that have just started take no share of common budgets.
 	text := fmt.Sprint(limit)
 	u.limit.Store(&text)
 	since := time.Now()
@@ -188,6 +188,6 @@
 	since = time.Now()
 	<-time.After(window)
 	if _, all := u.worst(window, since); all < int(3*limit*window.Seconds()) {
-		t.Errorf("%d requests in %v after the limit was over", all, window)
+		t.Errorf("%d requests in %v after the limit was removed", all, window)
 	}
 }
--- a/io/entry/watchers.go
+++ b/io/entry/watchers.go
@@ -10,82 +10,82 @@
 	"auburnlatch/io/lifecycle"
 )
 
-// watchersAt is what watchers returned at a moment.
-type watchersAt struct {
+// cachedReaders is the result of readerAddrs at a moment.
+type cachedReaders struct {
 	at    time.Time
 	addrs []string
 }
 
-// watchersFor is how long loops go by the same watchers: these change as VMs are heard or
-// fall silent, which takes heartbeats, and to work them out takes a look at all VMs.
-const watchersFor = heartbeat / 2
+// readersTTL is how long loops use the same result. Readers change as VMs become live or
+// silent, which takes heartbeats, and finding them iterates over all VMs.
+const readersTTL = heartbeat / 2
 
-// currentWatchers is watchers, as of watchersFor ago at most.
-func (v *VM) currentWatchers(now time.Time) []string {
-	w := v.lastWatchers.Load()
-	if w == nil || now.Sub(w.at) >= watchersFor {
-		w = &watchersAt{now, v.watchers(now)}
-		v.lastWatchers.Store(w)
+// cachedReaderAddrs returns the result of readerAddrs as of at most readersTTL ago.
+func (v *VM) cachedReaderAddrs(now time.Time) []string {
+	w := v.readerCache.Load()
+	if w == nil || now.Sub(w.at) >= readersTTL {
+		w = &cachedReaders{now, v.readerAddrs(now)}
+		v.readerCache.Store(w)
 	}
 	return slices.Clone(w.addrs)
 }
 
-// watchers returns the addresses of the VMs that read the platform for all, none
-// where this VM is one of them.
-func (v *VM) watchers(now time.Time) []string {
-	first := watch.First(v.candidates(now), watchers)
+// readerAddrs returns the addresses of the VMs that read the platform for all, or none
+// if this VM is one of them.
+func (v *VM) readerAddrs(now time.Time) []string {
+	first := watch.First(v.candidates(now), readerCount)
 	if slices.Contains(first, v.cfg.Load().Name) {
 		return nil
 	}
 	return v.peerAddrsOf(now, first)
 }
 
-// Relays spare the watchers most of the fleet: they ask the watchers, and the others of their
-// zone ask them.
+// Relays take load off the readers: they pull from the readers, and the other VMs of their
+// zone pull from them.
 const (
-	// relays is how many VMs of a zone they are.
+	// relays is the number of relays in a zone.
 	relays = 2
-	// relayFrom is the least number of VMs of a zone that has them. Each step takes time,
-	// and where fewer ask the watchers, these can answer them all.
+	// relayFrom is the least number of VMs in a zone with relays. Each step adds delay, and
+	// the readers can serve a smaller zone themselves.
 	relayFrom = 17
-	// relayAge is the age at which a relay asks for newer copies than its own.
-	relayAge = askAge / 2
-	// relayWithin is the least age that copies may have where relays are used: about twice
-	// what they have after two steps.
-	relayWithin = 3 * askAge
-	// directAge is the age at which a VM takes its relays for lost and asks the watchers.
-	directAge = 2 * askAge
+	// relayAge is the age of its copies at which a relay pulls newer ones.
+	relayAge = pullAge / 2
+	// relayWithin is the least bound on the age of copies with which relays are used:
+	// about twice their age after two steps.
+	relayWithin = 3 * pullAge
+	// directAge is the age at which a VM considers its relays lost and pulls from the readers.
+	directAge = 2 * pullAge
 )
 
-// sources returns the addresses of the VMs whose copies this VM asks for, and the age at
-// which its own are due; age is that of its own. watchers are the addresses of the VMs that
-// read the platform.
-func (v *VM) sources(now time.Time, age time.Duration, watchers []string) (addrs []string, due time.Duration) {
+// sources returns the addresses of the VMs from which this VM pulls its copies, and the age
+// at which its own are due. age is the current age of its own, and readers are the addresses
+// of the readers.
+func (v *VM) sources(now time.Time, age time.Duration, readers []string) (addrs []string, due time.Duration) {
 	zone := v.zoneVMs(now)
-	if len(watchers) == 0 || len(zone) < relayFrom || v.staleAge() < relayWithin {
-		return watchers, askAge
+	if len(readers) == 0 || len(zone) < relayFrom || v.staleAge() < relayWithin {
+		return readers, pullAge
 	}
 	first := watch.First(zone, relays)
 	switch {
 	case slices.Contains(first, v.cfg.Load().Name):
-		return watchers, relayAge
+		return readers, relayAge
 	case age >= directAge:
-		return watchers, askAge
+		return readers, pullAge
 	}
-	return v.peerAddrsOf(now, first), askAge
+	return v.peerAddrsOf(now, first), pullAge
 }
 
-// zoneVMs are the live VMs of this VM's zone, itself included, all as near to the platform.
+// zoneVMs returns the live VMs of this VM's zone, itself included, with equal RTTs to the platform.
 func (v *VM) zoneVMs(now time.Time) []watch.VM {
 	cfg := v.cfg.Load()
 	list := []watch.VM{{Name: cfg.Name, RTT: 1, Cores: cfg.Capacity.Cores}}
-	for _, vm := range v.zoneMates(now) {
+	for _, vm := range v.zonePeers(now) {
 		list = append(list, watch.VM{Name: vm.Name, RTT: 1, Cores: vm.Capacity.Cores})
 	}
 	return list
 }
 
-// peerAddrsOf returns the addresses of other VMs, by their names.
+// peerAddrsOf returns the addresses of other VMs by their names.
 func (v *VM) peerAddrsOf(now time.Time, names []string) []string {
 	var addrs []string
 	for _, name := range names {
@@ -96,86 +96,86 @@
 	return addrs
 }
 
-// nearFrom is how many upstreams have VMs beside the platform read for all: it is then
-// 140 KB a second that would cross. With fewer all VMs are equal: readers in several regions
-// are not lost, or turned away, together, and calls are dearer than bytes.
+// nearFrom is the number of upstreams from which the VMs near the platform are preferred as
+// readers: 140 KB a second would otherwise cross between regions. With fewer, all VMs are
+// equal: readers in several regions are not lost, or refused, together, and calls cost more
+// than bytes.
 const nearFrom = 600
 
-// candidates are the VMs that may read for all: the live ones, this one included unless it
-// leaves. How far each is from the platform is left out where that does not matter.
+// candidates returns the VMs that may be readers: the live ones, including this one unless it
+// is leaving. Their RTTs to the platform are omitted if they do not matter.
 func (v *VM) candidates(now time.Time) []watch.VM {
-	byTrip := v.targets.count() >= nearFrom
-	mates := v.members.Peers(now)
-	list := make([]watch.VM, 0, len(mates)+1)
-	add := func(name string, trip time.Duration, cores float64) {
-		if !byTrip {
-			trip = 0
+	byRTT := v.targets.count() >= nearFrom
+	peers := v.members.Peers(now)
+	list := make([]watch.VM, 0, len(peers)+1)
+	add := func(name string, rtt time.Duration, cores float64) {
+		if !byRTT {
+			rtt = 0
 		}
-		list = append(list, watch.VM{Name: name, RTT: trip, Cores: cores})
+		list = append(list, watch.VM{Name: name, RTT: rtt, Cores: cores})
 	}
-	for _, m := range mates {
+	for _, m := range peers {
 		if m.State == member.Live {
 			add(m.VM.Name, m.VM.PlatformTrip, m.VM.Capacity.Cores)
 		}
 	}
 	if !v.leaving.Load() {
 		cfg := v.cfg.Load()
-		add(cfg.Name, v.platformTrip(), cfg.Capacity.Cores)
+		add(cfg.Name, v.platformRTT(), cfg.Capacity.Cores)
 	}
 	return list
 }
 
-// unsureTurn reports whether the certainty about the rules is so old that it is this VM's
-// turn to ask the platform itself. The VMs that come next after the watchers do so first,
-// and hand on what they know: where the platform turns both watchers away, two others take
-// their place rather than all.
-func (v *VM) unsureTurn(now time.Time, age time.Duration) bool {
-	over := age - lifecycle.Share(v.cfg.Load().RevokeWithin, sureShare)
-	if over < 0 {
+// takeoverDue reports whether the rules have been unverified for so long that this VM should
+// ask the platform itself. The VMs that rank next after the readers ask first, and propagate
+// the result: if the platform refuses both readers, two other VMs replace them rather than all.
+func (v *VM) takeoverDue(now time.Time, age time.Duration) bool {
+	overdue := age - lifecycle.Share(v.cfg.Load().RevokeWithin, verifyFraction)
+	if overdue < 0 {
 		return false
 	}
 	rank := watch.Before(v.candidates(now), v.cfg.Load().Name)
-	return over >= time.Duration(min(rank, askTurns))*askTurn
+	return overdue >= time.Duration(min(rank, maxTakeoverRank))*takeoverDelay
 }
 
-// awaitTrip waits for a moment until it is known how far the platform is. Told with a later
-// heartbeat it takes seconds to reach all, and each VM beside the platform that has started
-// takes itself for the only one until then, and reads for all.
-func (v *VM) awaitTrip(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, tripWithin)
+// awaitRTT waits briefly until the RTT to the platform is known. If it were published with a
+// later heartbeat, it would take seconds to reach all VMs. Until then each VM near the platform
+// that has started would consider itself the only one, and read for all.
+func (v *VM) awaitRTT(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, rttWait)
 	defer cancel()
 	select {
-	case <-v.tripKnown:
+	case <-v.rttKnown:
 	case <-ctx.Done():
 	}
 }
 
-// tripWithin is how long a VM that starts keeps silent for it: two round trips between
-// regions.
-const tripWithin = 250 * time.Millisecond
+// rttWait is how long a starting VM delays its first heartbeat for the RTT: two round trips
+// between regions.
+const rttWait = 250 * time.Millisecond
 
-// tripEvery is the pause after a try to find out how far the platform is that failed.
-const tripEvery = 5 * time.Second
+// rttRetryInterval is the pause after a failed measurement of the RTT.
+const rttRetryInterval = 5 * time.Second
 
-// platformTrip is the round trip to the platform, 0 while it is not known.
-func (v *VM) platformTrip() time.Duration { return time.Duration(v.trip.Load()) }
+// platformRTT returns the round-trip time to the platform, 0 while it is not known.
+func (v *VM) platformRTT() time.Duration { return time.Duration(v.rtt.Load()) }
 
-// tripLoop finds out how far the platform is, once: what is told to the others decides who
-// reads for all, and must not go up and down with the load.
-func (v *VM) tripLoop(ctx context.Context) {
+// rttLoop measures the RTT to the platform once: the published value decides which VMs are
+// readers, and must not vary with the load.
+func (v *VM) rttLoop(ctx context.Context) {
 	for {
-		if took, ok := v.askTrip(ctx); ok {
-			v.trip.Store(int64(took))
-			close(v.tripKnown)
+		if took, ok := v.measureRTT(ctx); ok {
+			v.rtt.Store(int64(took))
+			close(v.rttKnown)
 			return
 		}
-		if !lifecycle.Pause(ctx, tripEvery) {
+		if !lifecycle.Pause(ctx, rttRetryInterval) {
 			return
 		}
 	}
 }
 
-func (v *VM) askTrip(ctx context.Context) (time.Duration, bool) {
+func (v *VM) measureRTT(ctx context.Context) (time.Duration, bool) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	took, err := v.platform.Trip(ctx)
