--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -18,10 +18,10 @@
 //
 // # Usage
 //
-//	asked := clock.Boot()                  // Before the query is sent.
+//	asked := clock.SinceBoot()             // Before the query is sent.
 //	... the reply: the newest version, verified as of age before the reply ...
 //	l.Renew(lease.AsOf(asked, age))
-//	if l.Age(clock.Boot()) > bound { ... }  // Keys are not judged.
+//	if l.Age(clock.SinceBoot()) > bound { ... } // Keys are not judged.
 package lease
 
 import (
--- a/io/caller/keyed.go
+++ b/io/caller/keyed.go
@@ -64,7 +64,7 @@
 // dispatch sends a claimed request to an upstream and settles its row.
 func (s *Server) dispatch(ctx context.Context, w http.ResponseWriter, req *route.Request, a *claim.Attempt) {
 	s.open.add(a)
-	resp, err := s.router.Enter(ctx, req)
+	resp, err := s.router.Route(ctx, req)
 	if err != nil {
 		s.settle(a, a.Finish(time.Now(), nil, err))
 		s.refuse(w, req.HTTP, verdict.As(err))
--- a/io/caller/keyed_test.go
+++ b/io/caller/keyed_test.go
@@ -23,7 +23,7 @@
 	standin "auburnlatch/standin/platform"
 )
 
-// fakeRouter is an Enterer that counts the requests that ran.
+// fakeRouter is a Router that counts the requests that ran.
 type fakeRouter struct {
 	mu      sync.Mutex
 	runs    int
@@ -33,7 +33,7 @@
 	entered chan struct{} // If set, receives a value from each call.
 }
 
-func (f *fakeRouter) Enter(_ context.Context, req *route.Request) (*http.Response, error) {
+func (f *fakeRouter) Route(_ context.Context, req *route.Request) (*http.Response, error) {
 	f.mu.Lock()
 	var err error
 	if len(f.fail) > 0 {
@@ -90,7 +90,7 @@
 	return r
 }
 
-func newServer(t *testing.T, platformURL string, router Enterer) (*Server, string) {
+func newServer(t *testing.T, platformURL string, router Router) (*Server, string) {
 	t.Helper()
 	inv, err := inventory.New(inventory.Op{Service: &inventory.Service{
 		Name: "programari", Timeout: 3 * time.Second, IdempotentMethods: []string{"GET"},
@@ -274,10 +274,9 @@
 	compare(t, "again", book(t, r.url, "depot", "k", "order"), reply{status: 201, body: "run 1 of /slots"})
 }
 
-// A booking runs, and the platform goes down before the answer is stored. Retries are
-// refused with MaybeRan meanwhile. The
-// answer must be stored when the platform is back, and a retry must get it in
-// place of a second run.
+// A booking runs, and the platform goes down before the answer is stored. Until
+// the platform is back, retries are refused with MaybeRan. The answer must be stored
+// when it is back, and a retry must get it in place of a second run.
 func TestOutageBetweenRunAndStore(t *testing.T) {
 	r := newHarness(t)
 	r.router.release, r.router.entered = make(chan struct{}), make(chan struct{}, 1)
--- a/io/caller/parse.go
+++ b/io/caller/parse.go
@@ -73,7 +73,7 @@
 		_, hr.URL.RawPath = splitService(hr.URL.RawPath)
 	}
 	forward.StripHopByHop(hr.Header)
-	forward.StripOwn(hr.Header)
+	forward.StripReserved(hr.Header)
 	hr.Header.Del("Expect")
 	if r.Body != nil && r.Body != http.NoBody {
 		hr.Body = &timeoutBody{ReadCloser: http.MaxBytesReader(w, r.Body, s.cfg.MaxBodyBytes), rc: http.NewResponseController(w)}
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -24,9 +24,9 @@
 // retryAfter is the Retry-After of a VM that cannot take a request now.
 const retryAfter = time.Second
 
-// Enterer sends a caller's request to an upstream.
-type Enterer interface {
-	Enter(ctx context.Context, req *route.Request) (*http.Response, error)
+// Router sends a caller's request to an upstream.
+type Router interface {
+	Route(ctx context.Context, req *route.Request) (*http.Response, error)
 }
 
 // Register gives the server its view of the inventory and the VM's state.
@@ -51,7 +51,7 @@
 // Server serves callers.
 type Server struct {
 	cfg      Config
-	router   Enterer
+	router   Router
 	claims   *platform.Claims
 	register Register
 	log      *logrus.Entry
@@ -64,7 +64,7 @@
 }
 
 // New returns a server.
-func New(cfg Config, router Enterer, claims *platform.Claims, register Register, log *logrus.Entry) *Server {
+func New(cfg Config, router Router, claims *platform.Claims, register Register, log *logrus.Entry) *Server {
 	return &Server{cfg: cfg, router: router, claims: claims, register: register, log: log}
 }
 
@@ -149,7 +149,7 @@
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), req.Deadline)
 	defer cancel()
-	resp, err := s.router.Enter(ctx, req)
+	resp, err := s.router.Route(ctx, req)
 	if err != nil {
 		s.refuse(w, r, verdict.As(err))
 		return nil
--- a/io/clock/clock.go
+++ b/io/clock/clock.go
@@ -7,9 +7,9 @@
 //
 // # Usage
 //
-//	asked := clock.Boot()
+//	asked := clock.SinceBoot()
 //	...
-//	age := time.Duration(clock.Boot() - asked)
+//	age := time.Duration(clock.SinceBoot() - asked)
 package clock
 
 import (
@@ -21,9 +21,9 @@
 	"auburnlatch/core/lease"
 )
 
-// Boot returns the time since the machine booted, suspensions included. It panics if the
+// SinceBoot returns the time since the machine booted, suspensions included. It panics if the
 // kernel has no such clock, as the age of keys cannot be determined without it.
-func Boot() lease.Moment {
+func SinceBoot() lease.Moment {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		panic(fmt.Sprintf("clock: CLOCK_BOOTTIME: %v", err))
--- a/io/entry/addresses.go
+++ b/io/entry/addresses.go
@@ -48,7 +48,7 @@
 func (v *VM) addressLoop(ctx context.Context) {
 	cfg := v.cfg.Load()
 	announced := false
-	if !lifecycle.Pause(ctx, lonelyAfter) {
+	if !lifecycle.Sleep(ctx, lonelyAfter) {
 		return
 	}
 	for {
@@ -56,7 +56,7 @@
 		now := time.Now()
 		lonely := len(v.members.Live(now)) < 2
 		if !lonely && !v.registers(now) {
-			if !lifecycle.Pause(ctx, lonelyEvery) {
+			if !lifecycle.Sleep(ctx, lonelyEvery) {
 				return
 			}
 			continue
@@ -68,7 +68,7 @@
 		if !v.readAddresses(ctx) || !announced || lonely {
 			wait = lonelyEvery
 		}
-		if !lifecycle.Pause(ctx, wait) {
+		if !lifecycle.Sleep(ctx, wait) {
 			return
 		}
 	}
--- a/io/entry/carry.go
+++ b/io/entry/carry.go
@@ -238,7 +238,7 @@
 func (v *VM) call(req *request, lease balance.Lease) *upstream.Call {
 	h := req.http.Header.Clone()
 	forward.StripHopByHop(h)
-	forward.StripOwn(h)
+	forward.StripReserved(h)
 	setTeam(h, v.protocol.Team, v.table.Load(), req.team)
 	h.Del("Expect")
 	h.Del("Content-Length")
--- a/io/entry/copies.go
+++ b/io/entry/copies.go
@@ -93,7 +93,7 @@
 		now := time.Now()
 		others := len(v.currentWatchers(now)) > 0
 		if !v.rulesDue(now, others) {
-			if !lifecycle.Pause(ctx, pollTick) {
+			if !lifecycle.Sleep(ctx, pollTick) {
 				return
 			}
 			continue
@@ -103,7 +103,7 @@
 			return
 		}
 		dep.note(TableRules, err)
-		if pause := wait.after(err, !others); pause > 0 && !lifecycle.Pause(ctx, pause) {
+		if pause := wait.after(err, !others); pause > 0 && !lifecycle.Sleep(ctx, pause) {
 			return
 		}
 	}
@@ -119,7 +119,7 @@
 	case !others:
 		return true
 	}
-	return v.strict(v.table.Load()) && v.unsureTurn(now, v.rulesAge(clock.Boot()))
+	return v.strict(v.table.Load()) && v.unsureTurn(now, v.rulesAge(clock.SinceBoot()))
 }
 
 // rulesWait is how long the platform may hold back its answer about the rules. The answer
@@ -184,7 +184,7 @@
 		return
 	}
 	for time.Since(v.started) < firstCopies && !v.hasCopies() {
-		if !lifecycle.Pause(ctx, pollTick) {
+		if !lifecycle.Sleep(ctx, pollTick) {
 			return
 		}
 	}
@@ -219,7 +219,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	started, asked := time.Now(), clock.Boot()
+	started, asked := time.Now(), clock.SinceBoot()
 	var d replica.Delta
 	err := ErrHistory
 	if t.Loaded() {
--- a/io/entry/leave.go
+++ b/io/entry/leave.go
@@ -49,7 +49,7 @@
 	withdrawn := make(chan struct{})
 	w := &withdrawal{vm: v, done: withdrawn}
 	go w.run(ctx)
-	lifecycle.Pause(ctx, min(maxLeaveServing, lifecycle.Share(grace, leaveServing)))
+	lifecycle.Sleep(ctx, min(maxLeaveServing, lifecycle.Share(grace, leaveServing)))
 	// The callers' server is not shut down by the library, which closes idle
 	// connections while a request may be arriving on them.
 	front.Close()
@@ -57,7 +57,7 @@
 	working := max(lifecycle.Share(grace, leaveWorking), grace-margin-leaveAnswering)
 	last := time.AfterFunc(time.Until(started.Add(working)), v.giveUp)
 	defer last.Stop()
-	for v.idle.count() > 0 && lifecycle.Pause(ctx, leaveTick) {
+	for v.idle.count() > 0 && lifecycle.Sleep(ctx, leaveTick) {
 	}
 	v.log.WithField("Connections", v.idle.count()).Info("FrontClosed")
 	for _, srv := range servers {
--- a/io/entry/limits.go
+++ b/io/entry/limits.go
@@ -44,7 +44,7 @@
 		if now.Sub(t.vm.started) < joinHold {
 			wait = demandAtStart
 		}
-		if !lifecycle.Pause(ctx, wait) {
+		if !lifecycle.Sleep(ctx, wait) {
 			return
 		}
 	}
--- a/io/entry/metrics.go
+++ b/io/entry/metrics.go
@@ -102,7 +102,7 @@
 		TargetsAgeMs: v.replicas[TableTargets].Head(now).Age.Milliseconds(),
 		LiveVMs:      len(v.members.Live(now)), Placements: v.balancer.PlacementCount(), Poison: v.guard.Ledger().Counts(), GivenUpByReason: make(map[verdict.Reason]int64),
 	}
-	f.RulesSureMs = v.rulesAge(clock.Boot()).Milliseconds()
+	f.RulesSureMs = v.rulesAge(clock.SinceBoot()).Milliseconds()
 	f.LimitsHeardMs = min(v.limits.Age(now), lease.Never).Milliseconds()
 	f.ControlSent = v.sent.Sent()
 	f.ControlBytesIn, f.ControlBytesOut = v.peers.Traffic()
@@ -127,7 +127,7 @@
 
 // sentLoop logs what was told to other VMs, in bytes since the start.
 func (v *VM) sentLoop(ctx context.Context) {
-	for lifecycle.Pause(ctx, sentEvery) {
+	for lifecycle.Sleep(ctx, sentEvery) {
 		s := v.sent.Sent()
 		v.log.WithFields(logrus.Fields{
 			"Members": s.Members, "Tables": s.Tables, "Placements": s.Placements, "Poison": s.Poison, "Demand": s.Demand, "Upstreams": s.Upstreams,
--- a/io/entry/placement.go
+++ b/io/entry/placement.go
@@ -62,7 +62,7 @@
 			return
 		case <-t.vm.placed:
 			t.peer.Tell(t.vm.holders(time.Now()), t.vm.balancer.News())
-			if !lifecycle.Pause(ctx, tellEvery) {
+			if !lifecycle.Sleep(ctx, tellEvery) {
 				return
 			}
 		case now := <-tick.C:
--- a/io/entry/push.go
+++ b/io/entry/push.go
@@ -70,7 +70,7 @@
 		if deltas := p.changes(now); len(deltas) > 0 {
 			p.push(ctx, now, deltas)
 		}
-		if !lifecycle.Pause(ctx, pushEvery) {
+		if !lifecycle.Sleep(ctx, pushEvery) {
 			return
 		}
 	}
--- a/io/entry/serve.go
+++ b/io/entry/serve.go
@@ -117,7 +117,7 @@
 func (v *VM) admit(r *http.Request) (*request, *verdict.Error) {
 	req := &request{started: time.Now(), http: r, id: r.Header.Get(v.protocol.RequestID)}
 	v.awaitCopies(r.Context(), req.started)
-	req.rulesAge = v.rulesAge(clock.Boot())
+	req.rulesAge = v.rulesAge(clock.SinceBoot())
 	table := v.table.Load()
 	if table == nil || !v.targets.known() {
 		return req, verdict.New(verdict.NotRun, verdict.ReasonNotReady, notReadyWait)
--- a/io/entry/teams.go
+++ b/io/entry/teams.go
@@ -57,7 +57,7 @@
 	if !v.strict(v.table.Load()) {
 		return false
 	}
-	return v.rulesAge(clock.Boot()) > lifecycle.Share(v.cfg.Load().RevokeWithin, leaveLookups)
+	return v.rulesAge(clock.SinceBoot()) > lifecycle.Share(v.cfg.Load().RevokeWithin, leaveLookups)
 }
 
 // identify finds the team of a request by its key. The table has been looked up after the
--- a/io/entry/watchers.go
+++ b/io/entry/watchers.go
@@ -169,7 +169,7 @@
 			close(v.tripKnown)
 			return
 		}
-		if !lifecycle.Pause(ctx, tripEvery) {
+		if !lifecycle.Sleep(ctx, tripEvery) {
 			return
 		}
 	}
--- a/io/forward/forward_test.go
+++ b/io/forward/forward_test.go
@@ -27,9 +27,9 @@
 	}
 }
 
-func TestStripOwn(t *testing.T) {
+func TestStripReserved(t *testing.T) {
 	h := http.Header{HeaderVerdict: {"NotRun"}, headerRefused: {"1"}, headerMode: {"Queue"}, "X-Kept": {"k"}}
-	StripOwn(h)
+	StripReserved(h)
 	if len(h) != 1 {
 		t.Errorf("fields after stripping = %v, want X-Kept only", h)
 	}
--- a/io/forward/header.go
+++ b/io/forward/header.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// StripOwn removes the reserved fields, so that neither a caller nor an upstream
+// StripReserved removes the reserved fields, so that neither a caller nor an upstream
 // can forge them.
-func StripOwn(h http.Header) {
+func StripReserved(h http.Header) {
 	for name := range h {
 		if strings.HasPrefix(name, reservedPrefix) {
 			h.Del(name)
--- a/io/forward/server.go
+++ b/io/forward/server.go
@@ -34,7 +34,7 @@
 		req.URL.Path = strings.TrimPrefix(req.URL.Path, "/"+meta.Service)
 		req.URL.RawPath = strings.TrimPrefix(req.URL.RawPath, "/"+meta.Service)
 		StripHopByHop(req.Header)
-		StripOwn(req.Header)
+		StripReserved(req.Header)
 		req.Header.Del("Expect")
 		resp, err := s.Serve(ctx, meta, req)
 		if err != nil {
--- a/io/lifecycle/lifecycle.go
+++ b/io/lifecycle/lifecycle.go
@@ -3,7 +3,7 @@
 // # Usage
 //
 //	lifecycle.Every(ctx, interval, func(now time.Time) { ... })
-//	if !lifecycle.Pause(ctx, wait) { return }
+//	if !lifecycle.Sleep(ctx, wait) { return }
 //	s := lifecycle.NewServing(2)
 //	go s.Run(srv.Serve, listener)
 //	err := <-s.Failed
@@ -35,8 +35,8 @@
 	}
 }
 
-// Pause waits for d or until ctx ends. It reports whether d has passed.
-func Pause(ctx context.Context, d time.Duration) bool {
+// Sleep waits for d or until ctx ends. It reports whether d has passed.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/io/peer/replica.go
+++ b/io/peer/replica.go
@@ -44,7 +44,7 @@
 // sureAge is how long ago the copy certainly was the newest.
 func sureAge(t *replica.Table) time.Duration {
 	asOf, _ := t.VerifiedAsOf()
-	return asOf.Age(clock.Boot())
+	return asOf.Age(clock.SinceBoot())
 }
 
 // renew takes in how far the copies were of a VM that was asked at a moment. Only an answer
@@ -91,7 +91,7 @@
 func (c *Client) Sync(ctx context.Context, addr, zone string, members *member.Table, replicas Replicas) (changed bool, err error) {
 	err = c.callConn(ctx, addr, func(ctx context.Context, conn drpc.Conn) error {
 		client := schema.NewDRPCReplicaClient(conn)
-		now, asked := time.Now(), clock.Boot()
+		now, asked := time.Now(), clock.SinceBoot()
 		ask := &schema.SyncRequest{Heads: wire.FromHeads(replicas.heads(now)), TablesOnly: members == nil}
 		if members != nil {
 			ask.Zone, ask.Sums = zone, wire.FromZoneSums(members.Sums())
--- a/io/quarantine/ends.go
+++ b/io/quarantine/ends.go
@@ -131,7 +131,7 @@
 // run asks until it is known.
 func (p *endProbe) run(ctx context.Context) {
 	g := p.guard
-	if !lifecycle.Pause(ctx, p.after) {
+	if !lifecycle.Sleep(ctx, p.after) {
 		return
 	}
 	for range probeTries {
@@ -144,7 +144,7 @@
 			return
 		case upstream.Unknown:
 		}
-		if !lifecycle.Pause(ctx, probePause) {
+		if !lifecycle.Sleep(ctx, probePause) {
 			return
 		}
 	}
--- a/io/quarantine/teller.go
+++ b/io/quarantine/teller.go
@@ -51,7 +51,7 @@
 		if n := g.ledger.TakeNews(); !n.Empty() {
 			t.peer.TellPoison(g.fleet.Mates(time.Now()), n)
 		}
-		if !lifecycle.Pause(ctx, tellEvery) {
+		if !lifecycle.Sleep(ctx, tellEvery) {
 			return
 		}
 	}
--- a/io/route/doc.go
+++ b/io/route/doc.go
@@ -6,7 +6,7 @@
 // # Usage
 //
 //	r := &route.Router{Self: "vm-a", Zone: "ro-nord-1", Pool: pool, ...}
-//	resp, err := r.Enter(ctx, req)             // A caller's request.
+//	resp, err := r.Route(ctx, req)             // A caller's request.
 //	resp, err := r.Serve(ctx, meta, httpReq)   // A request from another VM.
 //
 // The response's body must be closed; the slot is held until the body is read to
--- a/io/route/router.go
+++ b/io/route/router.go
@@ -42,9 +42,9 @@
 
 // Directory gives the addresses of other VMs.
 type Directory interface {
-	// Mate returns the address of a VM of the own zone. It returns false if the
+	// FindPeer returns the address of a VM of the own zone. It returns false if the
 	// VM is unknown or cannot take requests.
-	Mate(name string) (member.Address, bool)
+	FindPeer(name string) (member.Address, bool)
 	// ZoneVMs returns the VMs of another zone that take requests, the service's
 	// dispatchers first.
 	ZoneVMs(zone, service string) []member.Address
@@ -98,10 +98,10 @@
 	nextRemote atomic.Uint64 // Rotates the VM of another zone that is tried first.
 }
 
-// Enter sends a caller's request to an upstream of a zone, picked by the weights
+// Route sends a caller's request to an upstream of a zone, picked by the weights
 // of the request's origin. It retries only on NotRun, or on MaybeRan if the
 // request is idempotent, and only within the retry budget.
-func (r *Router) Enter(ctx context.Context, req *Request) (*http.Response, error) {
+func (r *Router) Route(ctx context.Context, req *Request) (*http.Response, error) {
 	rules := r.Pool.Rules(req.Service)
 	if rules == nil {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoService, 0)
@@ -269,7 +269,7 @@
 }
 
 func (r *Router) sendToPeer(ctx context.Context, name string, mode forward.Mode, req *Request) (*http.Response, error) {
-	peer, ok := r.Directory.Mate(name)
+	peer, ok := r.Directory.FindPeer(name)
 	if !ok {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonUnreachable, retryAfter)
 	}
@@ -341,7 +341,7 @@
 		r.Pool.Done(now, t.Name, newSample(err, now.Sub(started)))
 	}
 	hr := req.outgoing(ctx)
-	forward.StripOwn(hr.Header)
+	forward.StripReserved(hr.Header)
 	hr.Header.Set(forward.HeaderTimeout, remainingMillis(started, req.Deadline))
 	var shed []int
 	if rules := r.Pool.Rules(req.Service); rules != nil {
@@ -352,7 +352,7 @@
 		done(err)
 		return nil, err
 	}
-	forward.StripOwn(resp.Header)
+	forward.StripReserved(resp.Header)
 	resp.Body = &slotBody{ReadCloser: resp.Body, done: done}
 	return resp, nil
 }
--- a/io/vm/config.go
+++ b/io/vm/config.go
@@ -152,7 +152,7 @@
 	}
 	if err := c.register.Accept(ctx, change, next); err != nil {
 		if errors.Is(err, inventory.ErrVersion) {
-			// Another change was accepted first: read it, as the operator asks for it.
+			// Another change was accepted first: read it, to report it to the operator.
 			_ = c.poll(ctx)
 		}
 		return nil, err
--- a/io/vm/directory.go
+++ b/io/vm/directory.go
@@ -49,8 +49,8 @@
 	return list
 }
 
-// Mate implements route.Directory.
-func (v *VM) Mate(name string) (member.Address, bool) {
+// FindPeer implements route.Directory.
+func (v *VM) FindPeer(name string) (member.Address, bool) {
 	m, ok := v.table.FindPeer(time.Now(), name)
 	if !ok || (m.State != member.Live && m.State != member.Leaving) {
 		return member.Address{}, false
