--- a/io/entry/addresses.go
+++ b/io/entry/addresses.go
@@ -48,7 +48,7 @@
 func (v *VM) addressLoop(ctx context.Context) {
 	cfg := v.cfg.Load()
 	announced := false
-	if !lifecycle.Pause(ctx, isolatedAfter) {
+	if !lifecycle.Sleep(ctx, isolatedAfter) {
 		return
 	}
 	for {
@@ -56,7 +56,7 @@
 		now := time.Now()
 		isolated := len(v.members.Live(now)) < 2
 		if !isolated && !v.registers(now) {
-			if !lifecycle.Pause(ctx, isolatedInterval) {
+			if !lifecycle.Sleep(ctx, isolatedInterval) {
 				return
 			}
 			continue
@@ -68,7 +68,7 @@
 		if !v.readAddresses(ctx) || !announced || isolated {
 			wait = isolatedInterval
 		}
-		if !lifecycle.Pause(ctx, wait) {
+		if !lifecycle.Sleep(ctx, wait) {
 			return
 		}
 	}
--- a/io/entry/copies.go
+++ b/io/entry/copies.go
@@ -94,7 +94,7 @@
 		now := time.Now()
 		others := len(v.cachedReaderAddrs(now)) > 0
 		if !v.rulesDue(now, others) {
-			if !lifecycle.Pause(ctx, pollTick) {
+			if !lifecycle.Sleep(ctx, pollTick) {
 				return
 			}
 			continue
@@ -104,7 +104,7 @@
 			return
 		}
 		status.note(TableRules, err)
-		if pause := wait.after(err, !others); pause > 0 && !lifecycle.Pause(ctx, pause) {
+		if pause := wait.after(err, !others); pause > 0 && !lifecycle.Sleep(ctx, pause) {
 			return
 		}
 	}
@@ -120,7 +120,7 @@
 	case !others:
 		return true
 	}
-	return v.strict(v.table.Load()) && v.takeoverDue(now, v.rulesAge(clock.Boot()))
+	return v.strict(v.table.Load()) && v.takeoverDue(now, v.rulesAge(clock.SinceBoot()))
 }
 
 // rulesWait is how long the platform may hold back its response about the rules. A
@@ -185,7 +185,7 @@
 		return
 	}
 	for time.Since(v.started) < seedCopiesTimeout && !v.hasCopies() {
-		if !lifecycle.Pause(ctx, pollTick) {
+		if !lifecycle.Sleep(ctx, pollTick) {
 			return
 		}
 	}
@@ -219,7 +219,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	started, asked := time.Now(), clock.Boot()
+	started, asked := time.Now(), clock.SinceBoot()
 	var d replica.Delta
 	err := ErrHistory
 	if t.Loaded() {
--- a/io/entry/leave.go
+++ b/io/entry/leave.go
@@ -49,7 +49,7 @@
 	withdrawn := make(chan struct{})
 	w := &withdrawal{vm: v, done: withdrawn}
 	go w.run(ctx)
-	lifecycle.Pause(ctx, min(maxServing, lifecycle.Share(grace, servingFraction)))
+	lifecycle.Sleep(ctx, min(maxServing, lifecycle.Share(grace, servingFraction)))
 	// The callers' server is not stopped with Shutdown, which closes idle connections
 	// while a request may be arriving on them.
 	front.Close()
@@ -57,7 +57,7 @@
 	working := max(lifecycle.Share(grace, minWorkFraction), grace-margin-answerMargin)
 	last := time.AfterFunc(time.Until(started.Add(working)), v.cancelWork)
 	defer last.Stop()
-	for v.idle.count() > 0 && lifecycle.Pause(ctx, drainTick) {
+	for v.idle.count() > 0 && lifecycle.Sleep(ctx, drainTick) {
 	}
 	v.log.WithField("Connections", v.idle.count()).Info("FrontClosed")
 	for _, srv := range servers {
--- a/io/entry/limits.go
+++ b/io/entry/limits.go
@@ -44,7 +44,7 @@
 		if now.Sub(p.vm.started) < joinHold {
 			wait = startDemandInterval
 		}
-		if !lifecycle.Pause(ctx, wait) {
+		if !lifecycle.Sleep(ctx, wait) {
 			return
 		}
 	}
--- a/io/entry/placement.go
+++ b/io/entry/placement.go
@@ -62,7 +62,7 @@
 			return
 		case <-p.vm.newPlacements:
 			p.peer.Tell(p.vm.placementHolders(time.Now()), p.vm.balancer.News())
-			if !lifecycle.Pause(ctx, minPublishInterval) {
+			if !lifecycle.Sleep(ctx, minPublishInterval) {
 				return
 			}
 		case now := <-tick.C:
--- a/io/entry/push.go
+++ b/io/entry/push.go
@@ -72,7 +72,7 @@
 		if deltas := p.changes(now); len(deltas) > 0 {
 			p.push(ctx, now, deltas)
 		}
-		if !lifecycle.Pause(ctx, pushInterval) {
+		if !lifecycle.Sleep(ctx, pushInterval) {
 			return
 		}
 	}
--- a/io/entry/watchers.go
+++ b/io/entry/watchers.go
@@ -169,7 +169,7 @@
 			close(v.rttKnown)
 			return
 		}
-		if !lifecycle.Pause(ctx, rttRetryInterval) {
+		if !lifecycle.Sleep(ctx, rttRetryInterval) {
 			return
 		}
 	}
