--- a/io/quarantine/bans.go
+++ b/io/quarantine/bans.go
@@ -12,50 +12,51 @@
 )
 
 const (
-	// othersKeep is how long the first VM of an availability zone is given to have a ban
-	// kept by the platform before each other one that knows of it does.
-	othersKeep = 1500 * time.Millisecond
-	// keepEvery is the least time between two tries to have bans kept, and
-	// othersTryEvery that of all VMs but the first of each zone: calls are paid for, also
-	// those that fail.
-	keepEvery      = time.Second
-	othersTryEvery = 5 * time.Second
-	// unheardFor is the silence of a whole availability zone after which it may be cut
-	// off from this VM and not from the platform, which is then asked for the zone's
-	// bans: four heartbeats. With it a VM knows of them some 2.5 s after the cut, worked
-	// out; asked always, each zone's first VM would call the platform once a second.
-	unheardFor  = 2 * time.Second
-	recallEvery = time.Second
-	// reread is how often one VM reads the bans that operators may have lifted.
-	reread = 30 * time.Second
+	// fallbackDelay is how long a ban may be known without being stored on the platform
+	// before the VMs that are not designated for their availability zone store it too.
+	fallbackDelay = 1500 * time.Millisecond
+	// saveInterval is the minimum time between two attempts to store bans, and
+	// fallbackInterval that of VMs that are not designated for their zone: platform calls
+	// cost money, even those that fail.
+	saveInterval     = time.Second
+	fallbackInterval = 5 * time.Second
+	// zoneSilence is the silence of a whole availability zone, four heartbeats, after which
+	// this VM may be partitioned from the zone but not from the platform. It then reads
+	// the zone's bans from the platform, and has them about 2.5 s after the partition
+	// began. Without this condition, the designated VM of each zone would call the platform
+	// once a second.
+	zoneSilence  = 2 * time.Second
+	loadInterval = time.Second
+	// rereadInterval is how often one VM reads the bans, as operators may have lifted some.
+	rereadInterval = 30 * time.Second
 	// callTimeout bounds a call to the platform.
 	callTimeout = time.Second
 )
 
-// banKeeper keeps a copy of the bans on the platform.
-type banKeeper struct {
-	guard              *Guard
-	recalledAt, keptAt time.Time
-	recalled           bool
+// banSyncer keeps the bans of this VM and those stored on the platform in sync.
+type banSyncer struct {
+	guard             *Guard
+	loadedAt, savedAt time.Time
+	loaded            bool
 }
 
-// loop recalls the bans at the start, and keeps new ones.
-func (k *banKeeper) loop(ctx context.Context) {
-	lifecycle.Every(ctx, tick, func(now time.Time) {
-		k.recall(ctx, now)
-		k.events(ctx, now)
-		k.keep(ctx, now)
+// loop loads the bans at the start and stores new ones, until ctx ends.
+func (s *banSyncer) loop(ctx context.Context) {
+	lifecycle.Every(ctx, tickInterval, func(now time.Time) {
+		s.load(ctx, now)
+		s.logEvents(ctx, now)
+		s.save(ctx, now)
 	})
 }
 
-// recall reads the bans where this VM may lack some that the platform has.
-func (k *banKeeper) recall(ctx context.Context, now time.Time) {
-	g := k.guard
-	every, due := k.recallDue(now)
-	if !due || now.Sub(k.recalledAt) < every {
+// load reads the bans from the platform if this VM may lack some of them.
+func (s *banSyncer) load(ctx context.Context, now time.Time) {
+	g := s.guard
+	interval, due := s.loadDue(now)
+	if !due || now.Sub(s.loadedAt) < interval {
 		return
 	}
-	k.recalledAt = now
+	s.loadedAt = now
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	bans, err := g.keeper.Bans(ctx)
@@ -63,35 +64,35 @@
 		g.log.WithField("Err", err).Info("BansNotRecalled")
 		return
 	}
-	k.recalled = true
+	s.loaded = true
 	g.ledger.Restore(time.Now(), bans)
 	g.ledger.SetSynced()
 }
 
-// recallDue reports whether bans should be read, and how often.
-func (k *banKeeper) recallDue(now time.Time) (every time.Duration, due bool) {
-	g := k.guard
-	k.recalled = k.recalled || g.ledger.Synced()
+// loadDue reports whether this VM should read the bans, and at which interval.
+func (s *banSyncer) loadDue(now time.Time) (interval time.Duration, due bool) {
+	g := s.guard
+	s.loaded = s.loaded || g.ledger.Synced()
 	switch {
-	case !k.recalled:
-		return recallEvery, true
-	case g.fleet.HearsAllZones(now, unheardFor):
-		return reread, g.ledger.Digest() != 0 && g.first(g.fleet.Live(now))
+	case !s.loaded:
+		return loadInterval, true
+	case g.fleet.HearsAllZones(now, zoneSilence):
+		return rereadInterval, g.ledger.Digest() != 0 && g.designated(g.fleet.Live(now))
 	default:
-		return recallEvery, g.first(g.fleet.ZoneLive(now))
+		return loadInterval, g.designated(g.fleet.ZoneLive(now))
 	}
 }
 
-// events logs what has been learned of bans, and has those that are over forgotten by
-// the platform.
-func (k *banKeeper) events(ctx context.Context, now time.Time) {
-	g := k.guard
-	var over []poison.Print
+// logEvents logs the bans that were learned of, and deletes dropped ones from the
+// platform.
+func (s *banSyncer) logEvents(ctx context.Context, now time.Time) {
+	g := s.guard
+	var dropped []poison.Print
 	for _, e := range g.ledger.TakeEvents() {
-		f := logrus.Fields{"Print": e.Print, "At": time.UnixMilli(e.At).UTC().Format(time.RFC3339), "Ends": len(e.Ends), "Targets": strings.Join(e.Ends[:min(loggedPrints, len(e.Ends))], ",")}
+		f := logrus.Fields{"Print": e.Print, "At": time.UnixMilli(e.At).UTC().Format(time.RFC3339), "Ends": len(e.Ends), "Targets": strings.Join(e.Ends[:min(maxLogged, len(e.Ends))], ",")}
 		switch {
 		case e.Dropped:
-			over = append(over, e.Print)
+			dropped = append(dropped, e.Print)
 			g.log.WithFields(f).Warn("BanForgotten")
 		case e.Lifted:
 			g.log.WithFields(f).Warn("RequestUnbanned")
@@ -99,31 +100,31 @@
 			g.log.WithFields(f).Warn("RequestBanned")
 		}
 	}
-	if len(over) == 0 || !g.first(g.fleet.Live(now)) {
+	if len(dropped) == 0 || !g.designated(g.fleet.Live(now)) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := g.keeper.DropBans(ctx, over); err != nil {
-		// A row that stays is dropped again by who reads it.
+	if err := g.keeper.DropBans(ctx, dropped); err != nil {
+		// A row that remains is deleted by the VM that next reads it.
 		g.log.WithField("Err", err).Info("BansNotDropped")
 	}
 }
 
-// keep writes bans to the platform that it does not have. The first VM of each
-// availability zone does at once, so that one that is cut off from the others does too;
-// should it be lost, the others do a little later.
-func (k *banKeeper) keep(ctx context.Context, now time.Time) {
-	g := k.guard
-	wait, every := time.Duration(0), keepEvery
-	if !g.first(g.fleet.ZoneLive(now)) {
-		wait, every = othersKeep, othersTryEvery
+// save stores bans that the platform lacks. The designated VM of each availability zone
+// does so at once, so that a partitioned zone stores its bans too. If that VM is lost, the
+// others do so after fallbackDelay.
+func (s *banSyncer) save(ctx context.Context, now time.Time) {
+	g := s.guard
+	delay, interval := time.Duration(0), saveInterval
+	if !g.designated(g.fleet.ZoneLive(now)) {
+		delay, interval = fallbackDelay, fallbackInterval
 	}
-	list := g.ledger.Unpersisted(now, wait)
-	if len(list) == 0 || now.Sub(k.keptAt) < every {
+	list := g.ledger.Unpersisted(now, delay)
+	if len(list) == 0 || now.Sub(s.savedAt) < interval {
 		return
 	}
-	k.keptAt = now
+	s.savedAt = now
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := g.keeper.KeepBans(ctx, list); err != nil {
--- a/io/quarantine/ends.go
+++ b/io/quarantine/ends.go
@@ -17,39 +17,41 @@
 )
 
 const (
-	// probeWithin bounds one question whether an upstream still listens: several round
-	// trips between regions, and less than what an upstream takes to start again.
-	probeWithin = 600 * time.Millisecond
-	// probeTries is how often it is asked before it stays unknown, probePause apart.
-	probeTries = 3
+	// probeTimeout bounds one probe: several round trips between regions, and less than
+	// an upstream takes to restart.
+	probeTimeout = 600 * time.Millisecond
+	// maxProbes is the number of probes without a result after which it stays unknown
+	// whether the upstream has crashed. They are probePause apart.
+	maxProbes  = 3
 	probePause = 200 * time.Millisecond
-	// loggedPrints bounds the requests that are named in the line on one end, and the
-	// upstreams in that on one ban.
-	loggedPrints = 8
+	// maxLogged bounds the requests listed in the log line of one crash, and the upstreams
+	// listed in that of one ban.
+	maxLogged = 8
 )
 
 // Upstream is one incarnation of an upstream.
 type Upstream struct {
-	// ID names the incarnation; Addr is IP:port.
+	// ID identifies the incarnation. Addr is IP:port.
 	ID, Addr string
 }
 
-// Attempt is one sending of a request to an upstream.
+// Attempt is one run of a request at an upstream.
 type Attempt struct {
 	Upstream Upstream
-	Began    time.Time
-	// Lapsed says that the upstream is off the register.
+	// Began is when the request was sent.
+	Began time.Time
+	// Lapsed says that the upstream is no longer registered.
 	Lapsed bool
 }
 
-// Unanswered notes that an upstream brought no answer to a request that it may have
-// begun. Whether the upstream has ended is asked where its connection did. ctx ends the
-// question.
+// Unanswered records that an upstream returned no response to a request that it may have
+// started to run. If the connection was lost, it probes whether the upstream has crashed,
+// until ctx ends.
 func (g *Guard) Unanswered(ctx context.Context, now time.Time, req *poison.Request, a Attempt, e *verdict.Error) {
 	run := poison.Run{Target: a.Upstream.ID, Began: a.Began, Ended: now, Alone: req.Alone}
 	switch {
 	case e.Reason == verdict.ReasonMisdirected, e.Reason == verdict.ReasonUnreachable && errors.Is(e.Err, syscall.ECONNREFUSED):
-		g.ended(now, a.Upstream)
+		g.crashed(now, a.Upstream)
 	case e.Verdict == verdict.NotRun:
 	case e.Reason == verdict.ReasonDeadline || e.Reason == verdict.ReasonCanceled:
 		run.Print = req.Print()
@@ -57,7 +59,7 @@
 		if a.Lapsed {
 			g.probe(ctx, a.Upstream, true)
 		}
-	case connectionEnded(e.Err):
+	case connectionLost(e.Err):
 		run.Print = req.Print()
 		if g.ledger.ConnectionLost(now, run) {
 			g.probe(ctx, a.Upstream, false)
@@ -65,79 +67,82 @@
 	}
 }
 
-// Answered takes in that an upstream answered a request that began at a time, so that it
-// lived then.
+// Answered records that an upstream responded to a request that was sent at began, so it
+// was running then.
 func (g *Guard) Answered(now, began time.Time, upstreamID string) {
 	g.ledger.Answered(now, began, upstreamID)
 }
 
-// connectionEnded reports whether an error says that the other side ended the
-// connection, as all of a process's do when it ends. A host without power and a link
-// that is cut say nothing. A connection that is refused where the request may have run
-// was opened to repeat it.
-func connectionEnded(err error) bool {
+// connectionLost reports whether an error says that the other side closed or reset the
+// connection, as happens to all connections of a process that crashes. A host that loses
+// power and a cut link cause no such error. A refused connection counts, as where the
+// request may have run, the connection was opened to repeat it.
+func connectionLost(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// ended takes in that an upstream has ended, and logs what was under way there.
-func (g *Guard) ended(now time.Time, u Upstream) {
+// crashed records that an upstream has crashed, and logs the requests in flight there.
+func (g *Guard) crashed(now time.Time, u Upstream) {
 	runs := g.ledger.Crashed(now, u.ID)
-	g.onEnd(u)
+	g.onCrash(u)
 	if len(runs) == 0 {
 		return
 	}
 	var prints []string
-	for _, r := range runs[:min(loggedPrints, len(runs))] {
+	for _, r := range runs[:min(maxLogged, len(runs))] {
 		prints = append(prints, r.Print.String())
 	}
 	g.log.WithFields(logrus.Fields{"Target": u.ID, "Addr": u.Addr, "UnderWay": len(runs), "Prints": strings.Join(prints, ",")}).Warn("UpstreamEnded")
 }
 
-// Replaced takes in that upstreams are registered that were not before. Of ended, one
-// whose address another has now ended without a word; one that is off the register may have,
-// or goes on serving for a while, and is asked where requests there had no answer. A host
-// without power resets no connection, so nothing else would tell of its upstreams' ends.
-func (g *Guard) Replaced(ctx context.Context, now time.Time, ended, added []Upstream) {
-	taken := make(map[string]bool, len(added))
+// Replaced records that registrations of upstreams have changed. A removed upstream whose
+// address was added again has crashed. Any other removed upstream may have crashed or may
+// go on serving for a while; it is probed if requests were abandoned there. This detects
+// the upstreams of a host that lost power: such a host resets no connections, so nothing
+// else reveals that they are gone.
+func (g *Guard) Replaced(ctx context.Context, now time.Time, removed, added []Upstream) {
+	reused := make(map[string]bool, len(added))
 	for _, u := range added {
-		taken[u.Addr] = true
+		reused[u.Addr] = true
 	}
-	for _, u := range ended {
+	for _, u := range removed {
 		switch {
-		case taken[u.Addr]:
-			g.ended(now, u)
+		case reused[u.Addr]:
+			g.crashed(now, u)
 		case g.ledger.HasAbandoned(now, u.ID):
 			g.probe(ctx, u, true)
 		}
 	}
 }
 
-// endProbe finds out whether an upstream whose connection ended has ended itself: its
-// address then refuses connections. It costs one connection for each moment at which
-// connections to an upstream break off.
-type endProbe struct {
+// crashProbe finds out whether an upstream has crashed after a connection to it was lost:
+// if so, its address refuses connections. It costs one connection for each moment at which
+// connections to an upstream are lost.
+type crashProbe struct {
 	guard    *Guard
 	upstream Upstream
-	// lapsed says that the upstream is off the register: silence is its end too.
+	// lapsed says that the upstream is no longer registered: no reply then also counts as
+	// a crash.
 	lapsed bool
-	// after is the wait before the first question.
+	// after is the wait before the first probe.
 	after time.Duration
 }
 
+// probe starts a crashProbe at once.
 func (g *Guard) probe(ctx context.Context, u Upstream, lapsed bool) {
-	g.probes.Start(ctx, (&endProbe{guard: g, upstream: u, lapsed: lapsed}).run)
+	g.probes.Start(ctx, (&crashProbe{guard: g, upstream: u, lapsed: lapsed}).run)
 }
 
-// run asks until it is known.
-func (p *endProbe) run(ctx context.Context) {
+// run probes until the result is known, maxProbes times at most.
+func (p *crashProbe) run(ctx context.Context) {
 	g := p.guard
 	if !lifecycle.Pause(ctx, p.after) {
 		return
 	}
-	for range probeTries {
-		switch g.prober.Listens(ctx, p.upstream.Addr, probeWithin) {
+	for range maxProbes {
+		switch g.prober.Listens(ctx, p.upstream.Addr, probeTimeout) {
 		case upstream.Refuses:
-			g.ended(time.Now(), p.upstream)
+			g.crashed(time.Now(), p.upstream)
 			return
 		case upstream.Listens:
 			g.ledger.NotCrashed(time.Now(), p.upstream.ID, true)
@@ -149,7 +154,7 @@
 		}
 	}
 	if p.lapsed {
-		g.ended(time.Now(), p.upstream)
+		g.crashed(time.Now(), p.upstream)
 		return
 	}
 	g.ledger.NotCrashed(time.Now(), p.upstream.ID, false)
--- a/io/quarantine/teller.go
+++ b/io/quarantine/teller.go
@@ -13,75 +13,78 @@
 )
 
 const (
-	// tick is how often suspects are judged and what others may lack is looked at.
-	tick = 200 * time.Millisecond
-	// tellEvery is the least time between two tellings, so that those of one end travel
-	// together. A request that ended an upstream comes again some hundred milliseconds
-	// later at the soonest.
-	tellEvery = 20 * time.Millisecond
-	// compareEvery is how often a VM that knows of bans compares them with another's.
-	compareEvery = 500 * time.Millisecond
-	// askFor is how long a VM that has started asks others what they know, each askEvery:
-	// until all others know it and tell it what is new.
-	askFor   = 3 * time.Second
-	askEvery = 500 * time.Millisecond
+	// tickInterval is how often suspects are judged, and how often the VM checks whether
+	// to exchange state with a peer or the platform.
+	tickInterval = 200 * time.Millisecond
+	// publishInterval is the minimum time between two publications, so that the news of one
+	// crash is sent together. A request that crashed an upstream is sent again some
+	// hundred milliseconds later at the earliest.
+	publishInterval = 20 * time.Millisecond
+	// compareInterval is how often a VM that knows of bans compares them with those of a
+	// peer.
+	compareInterval = 500 * time.Millisecond
+	// After its start, a VM asks a peer for all that it knows at every pullInterval for
+	// the time startupPulls. By then all peers know the VM and send it their news.
+	startupPulls = 3 * time.Second
+	pullInterval = 500 * time.Millisecond
 )
 
-// teller tells other VMs under which requests upstreams end.
-type teller struct {
-	guard               *Guard
-	peer                *peer.Datagrams
-	comparedAt, askedAt time.Time
-	dropped             poison.Dropped
+// publisher publishes this VM's news of crashes, suspects and bans to its peers.
+type publisher struct {
+	guard                *Guard
+	peer                 *peer.Datagrams
+	comparedAt, pulledAt time.Time
+	dropped              poison.Dropped
 }
 
-// loop tells of what is new, and judges.
-func (t *teller) loop(ctx context.Context) {
-	g := t.guard
-	look := time.NewTicker(tick)
-	defer look.Stop()
+// loop publishes news and does the periodic work, until ctx ends.
+func (p *publisher) loop(ctx context.Context) {
+	g := p.guard
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.news:
-		case now := <-look.C:
-			t.look(now)
+		case <-g.newsReady:
+		case now := <-ticker.C:
+			p.tick(now)
 		}
 		if n := g.ledger.TakeNews(); !n.Empty() {
-			t.peer.TellPoison(g.fleet.Mates(time.Now()), n)
+			p.peer.TellPoison(g.fleet.Mates(time.Now()), n)
 		}
-		if !lifecycle.Pause(ctx, tellEvery) {
+		if !lifecycle.Pause(ctx, publishInterval) {
 			return
 		}
 	}
 }
 
-// look does what is due now and then.
-func (t *teller) look(now time.Time) {
-	g := t.guard
+// tick does the periodic work: it judges suspects, logs what the Ledger discarded for lack
+// of room, and asks a random peer for its state or compares bans with it.
+func (p *publisher) tick(now time.Time) {
+	g := p.guard
 	g.ledger.Tick(now)
-	if d := g.ledger.Counts().Dropped; d != t.dropped {
-		t.dropped = d
+	if d := g.ledger.Counts().Dropped; d != p.dropped {
+		p.dropped = d
 		g.log.WithFields(logrus.Fields{
 			"Runs": d.Runs, "Answered": d.Answered, "Upstreams": d.Upstreams, "Suspects": d.Suspects, "Ends": d.Ends, "Bans": d.Bans, "News": d.News,
 		}).Warn("PoisonForgotten")
 	}
-	asks := !g.firstStart && now.Sub(g.started) < askFor && now.Sub(t.askedAt) >= askEvery
-	compares := now.Sub(t.comparedAt) >= compareEvery && g.ledger.Digest() != 0
-	if !asks && !compares {
+	pullDue := !g.firstStart && now.Sub(g.started) < startupPulls && now.Sub(p.pulledAt) >= pullInterval
+	compareDue := now.Sub(p.comparedAt) >= compareInterval && g.ledger.Digest() != 0
+	if !pullDue && !compareDue {
 		return
 	}
-	mates := g.fleet.Mates(now)
-	if len(mates) == 0 {
+	peers := g.fleet.Mates(now)
+	if len(peers) == 0 {
 		return
 	}
-	if asks {
-		t.askedAt = now
-		t.peer.AskPoison(mates[rand.IntN(len(mates))])
+	if pullDue {
+		p.pulledAt = now
+		p.peer.AskPoison(peers[rand.IntN(len(peers))])
 	}
-	if compares {
-		t.comparedAt = now
-		t.peer.ComparePoison(mates[rand.IntN(len(mates))])
+	if compareDue {
+		p.comparedAt = now
+		p.peer.ComparePoison(peers[rand.IntN(len(peers))])
 	}
 }
