--- a/io/quarantine/bans.go
+++ b/io/quarantine/bans.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// logEvents logs the bans that were learned of, and deletes dropped ones from the
-// platform.
+// logEvents logs bans that were learned of, lifted or dropped, and deletes the dropped ones
+// from the platform.
 func (s *banSyncer) logEvents(ctx context.Context, now time.Time) {
 	g := s.guard
 	var dropped []poison.Print
