--- a/io/logline/causes.go
+++ b/io/logline/causes.go
@@ -8,75 +8,77 @@
 	"time"
 )
 
-// Cause is why a request was not answered in time.
+// Cause is the reason why a request was not answered in time.
 type Cause string
 
-// The causes. A request has the first that explains it.
+// A request has the first of these causes that explains it.
 const (
-	// CauseRefused, and the reason of it: no upstream was to have it.
+	// CauseRefused: it was rejected and sent to no upstream. The Reason says why.
 	CauseRefused Cause = "Refused"
-	// CauseFailed: it was sent and brought no answer.
+	// CauseFailed: it was sent to an upstream and got no response.
 	CauseFailed Cause = "Failed"
-	// CauseCallerLeft: nobody waited for it any more.
+	// CauseCallerLeft: its caller canceled it.
 	CauseCallerLeft Cause = "CallerLeft"
-	// CauseBehind: its answer was ready in time and had to wait for those before it on
-	// its connection.
+	// CauseBehind: its response was ready in time but had to wait for the responses to
+	// earlier pipelined requests on its connection.
 	CauseBehind Cause = "Behind"
-	// CauseRetried: the first upstream did not serve it.
+	// CauseRetried: the first upstream did not serve it, so it was sent again.
 	CauseRetried Cause = "Retried"
-	// CauseDistance: without the round trip to the upstream it had been in time.
+	// CauseDistance: without the round trip to the upstream it would have been in time.
 	CauseDistance Cause = "Distance"
-	// CauseNewEverywhere: no upstream had handled its object before.
+	// CauseNewEverywhere: no upstream had served its object before.
 	CauseNewEverywhere Cause = "NewEverywhere"
-	// CauseSpilled: its owner had no room, and its object was new where it went.
+	// CauseSpilled: it went to another upstream than its owner, which had no free slot,
+	// and its object was new there.
 	CauseSpilled Cause = "Spilled"
-	// CauseOwnerChanged: its object was new to its owner, and known elsewhere.
+	// CauseOwnerChanged: its object was new to its owner but not to another upstream.
 	CauseOwnerChanged Cause = "OwnerChanged"
-	// CauseQueue: the upstream was known to have as many requests as slots.
+	// CauseQueue: the upstream was known to have at least as many requests as slots.
 	CauseQueue Cause = "Queue"
-	// CauseSlow: nothing of these. The upstream was slow, had more to do than the VM
-	// knew, or had forgotten the object.
+	// CauseSlow: none of the above. The upstream was slow, had more load than the VM
+	// knew of, or had evicted the object.
 	CauseSlow Cause = "Slow"
 )
 
-// CauseCount is how many requests of a route had a cause in a span of time.
+// CauseCount is the number of requests of a route that had a cause in a period of time.
 type CauseCount struct {
 	Route string
 	Cause Cause
-	// Reason says more of a refusal or failure.
+	// Reason is the reason of a refusal or failure.
 	Reason string
-	// From is when the span begins; zero where all time is one.
+	// From is the start of the period, zero if there is one period for all lines.
 	From time.Time
-	N    int
-	// Asked is how many requests of the route the lines tell of in that span.
+	// N is the number of requests.
+	N int
+	// Asked is the number of all requests of the route in that period.
 	Asked int
 }
 
-// Causes gives each request that was not answered within its route's objective one
-// cause, and counts them by route, the most frequent first; by spans of time where
-// every is above 0. Lines that VMs dropped are missing, so what is counted are parts,
-// not totals.
-func Causes(lines []Line, every time.Duration) []CauseCount {
-	ended := make([]*request, 0, len(lines))
+// Causes assigns one cause to each request that was not answered within its route's
+// objective, and counts the requests by route and cause, the most frequent first. If period
+// is above 0, it counts each period of that length separately. Lines that VMs dropped are
+// missing, so the counts are lower bounds.
+func Causes(lines []Line, period time.Duration) []CauseCount {
+	requests := make([]*request, 0, len(lines))
 	for i := range lines {
-		if r := requestOf(&lines[i]); r != nil {
-			ended = append(ended, r)
+		if r := parseRequest(&lines[i]); r != nil {
+			requests = append(requests, r)
 		}
 	}
-	slices.SortStableFunc(ended, func(a, b *request) int { return a.began.Compare(b.began) })
-	known := make(map[place]bool)
+	slices.SortStableFunc(requests, func(a, b *request) int { return a.began.Compare(b.began) })
+	seen := make(map[objectAt]bool)
 	asked := make(map[CauseCount]int)
 	counts := make(map[CauseCount]int)
-	for _, r := range ended {
+	for _, r := range requests {
 		key := CauseCount{Route: r.route}
-		if every > 0 {
-			key.From = r.began.Truncate(every)
+		if period > 0 {
+			key.From = r.began.Truncate(period)
 		}
 		asked[key]++
-		if key.Cause, key.Reason = r.cause(known); key.Cause != "" {
+		if key.Cause, key.Reason = r.cause(seen); key.Cause != "" {
 			counts[key]++
 		}
-		r.learn(known)
+		r.markSeen(seen)
 	}
 	list := make([]CauseCount, 0, len(counts))
 	for key, n := range counts {
@@ -90,35 +92,38 @@
 	return list
 }
 
-// request is what a line says of one that has ended.
+// request is a request that has ended, as logged.
 type request struct {
-	answered                      bool
-	began                         time.Time
-	route, object, target         string
-	reason                        string
-	took, objective, behind, trip time.Duration
-	tries, ahead, slots           int
-	owner                         bool
+	answered              bool
+	began                 time.Time
+	route, object, target string
+	reason                string
+	// objective is the route's. pipelineWait is the wait for earlier responses on the
+	// caller's connection, and rtt the round trip to the upstream.
+	took, objective, pipelineWait, rtt time.Duration
+	// inFlight is the number of requests that the upstream was believed to have.
+	tries, inFlight, slots int
+	owner                  bool
 }
 
-// place is an object at an upstream, or anywhere.
-type place struct{ route, object, target string }
+// objectAt is an object of a route at an upstream, or at any if target is empty.
+type objectAt struct{ route, object, target string }
 
-// requestOf returns what a line says of a request that has ended, or nil.
-func requestOf(l *Line) *request {
+// parseRequest returns the request whose end a line logs, or nil if it logs none.
+func parseRequest(l *Line) *request {
 	if l.Event != "RequestAnswered" && l.Event != "RequestGivenUp" {
 		return nil
 	}
 	r := &request{
 		answered: l.Event == "RequestAnswered", route: l.Get("Route"), object: l.Get("Object"), target: l.Get("Target"), reason: l.Get("Reason"),
-		took: l.millis("TookMs"), objective: l.millis("ObjectiveMs"), behind: l.millis("BehindMs"), trip: l.millis("TripMs"),
-		tries: l.number("Tries"), ahead: l.number("Ahead"), slots: l.number("Slots"), owner: l.Get("Owner") == "true",
+		took: l.millis("TookMs"), objective: l.millis("ObjectiveMs"), pipelineWait: l.millis("BehindMs"), rtt: l.millis("TripMs"),
+		tries: l.number("Tries"), inFlight: l.number("Ahead"), slots: l.number("Slots"), owner: l.Get("Owner") == "true",
 	}
 	r.began = l.Time.Add(-r.took)
 	return r
 }
 
-// number returns a field's number, 0 where it has none.
+// number returns the integer in a field, or 0 if it is missing or no integer.
 func (l *Line) number(name string) int {
 	n, err := strconv.Atoi(strings.TrimSpace(l.Get(name)))
 	if err != nil {
@@ -131,23 +136,24 @@
 	return time.Duration(l.number(name)) * time.Millisecond
 }
 
-// cause returns why a request was not answered in time, "" where it was.
-func (r *request) cause(known map[place]bool) (Cause, string) {
+// cause returns why a request was not answered in time and the reason of a refusal or
+// failure, or "" if it was in time. seen has the objects of earlier requests.
+func (r *request) cause(seen map[objectAt]bool) (Cause, string) {
 	switch {
 	case !r.answered:
-		return r.givenUp()
+		return r.failureCause()
 	case r.objective == 0 || r.took <= r.objective:
 		return "", ""
-	case r.took-r.behind <= r.objective:
+	case r.took-r.pipelineWait <= r.objective:
 		return CauseBehind, ""
 	case r.tries > 1:
 		return CauseRetried, ""
-	case r.took-r.behind-r.trip <= r.objective:
+	case r.took-r.pipelineWait-r.rtt <= r.objective:
 		return CauseDistance, ""
 	}
-	if r.object != "" && !known[place{r.route, r.object, r.target}] {
+	if r.object != "" && !seen[objectAt{r.route, r.object, r.target}] {
 		switch {
-		case !known[place{r.route, r.object, ""}]:
+		case !seen[objectAt{r.route, r.object, ""}]:
 			return CauseNewEverywhere, ""
 		case !r.owner:
 			return CauseSpilled, ""
@@ -155,29 +161,30 @@
 			return CauseOwnerChanged, ""
 		}
 	}
-	if r.slots > 0 && r.ahead >= r.slots {
+	if r.slots > 0 && r.inFlight >= r.slots {
 		return CauseQueue, ""
 	}
 	return CauseSlow, ""
 }
 
-func (r *request) givenUp() (Cause, string) {
+// failureCause returns why a request got no response.
+func (r *request) failureCause() (Cause, string) {
 	switch r.reason {
 	case "Canceled":
 		return CauseCallerLeft, ""
 	case "Deadline", "Broken", "Unreachable", "Misdirected":
 		return CauseFailed, r.reason
 	case "NoSuchService":
-		return "", "" // It is not owed an answer.
+		return "", "" // Not counted, as no service has to answer it.
 	default:
 		return CauseRefused, r.reason
 	}
 }
 
-// learn notes where the object is known from now on.
-func (r *request) learn(known map[place]bool) {
+// markSeen adds the request's object if the upstream has served it.
+func (r *request) markSeen(seen map[objectAt]bool) {
 	if r.answered && r.object != "" {
-		known[place{r.route, r.object, r.target}] = true
-		known[place{r.route, r.object, ""}] = true
+		seen[objectAt{r.route, r.object, r.target}] = true
+		seen[objectAt{r.route, r.object, ""}] = true
 	}
 }
--- a/io/logline/causes_test.go
+++ b/io/logline/causes_test.go
@@ -9,13 +9,14 @@
 	"auburnlatch/io/logline"
 )
 
-// answeredLine is a line about a request to route r with an objective of 500 ms.
+// answeredLine returns a line that logs an answered request of route r, whose objective
+// is 500 ms.
 func answeredLine(second int, object, target string, tookMs int, fields string) string {
 	return fmt.Sprintf(`time="2030-01-01T00:00:%02d.000Z" level=info msg=RequestAnswered Route=r Object=%s Target=%s TookMs=%d ObjectiveMs=500 Tries=1 Slots=4 Owner=true %s`,
 		second, object, target, tookMs, fields)
 }
 
-// Each late request has one cause, and those in time have none.
+// Each late or failed request has one cause, and requests in time have none.
 func TestCauses(t *testing.T) {
 	for want, lines := range map[logline.Cause][]string{
 		"":                         {answeredLine(1, "a", "t", 400, "")},
@@ -44,7 +45,7 @@
 	}
 }
 
-func TestCausesBySpan(t *testing.T) {
+func TestCausesByPeriod(t *testing.T) {
 	var text strings.Builder
 	for second := range 10 {
 		fmt.Fprintln(&text, answeredLine(second, fmt.Sprint("object", second), "t", 900, ""))
@@ -56,7 +57,7 @@
 	n := 0
 	for _, c := range logline.Causes(lines, 2*time.Second) {
 		if c.From.Second()%2 != 0 {
-			t.Errorf("a span begins at %v", c.From)
+			t.Errorf("a period begins at %v", c.From)
 		}
 		n += c.N
 	}
--- a/io/logline/logline.go
+++ b/io/logline/logline.go
@@ -1,5 +1,5 @@
-// Package logline writes logs as one key=value line an event, without ever
-// holding up who logs.
+// Package logline writes logs as one key=value line per event and never blocks
+// the caller. It also reads, traces and summarizes such logs.
 //
 // # Usage
 //
@@ -19,13 +19,13 @@
 	"github.com/sirupsen/logrus"
 )
 
-// queueLines is how many lines wait for a slow reader before further ones are
-// dropped: at 300 bytes a line 300 KB.
-const queueLines = 1024
+// maxQueuedLines is the number of lines that wait for a slow reader before further
+// ones are dropped. At 300 bytes per line these are 300 KB.
+const maxQueuedLines = 1024
 
-// Writer hands lines to a writer in the background. Lines that find the queue
-// full are dropped and counted: a reader that stops would else stop every
-// request that logs.
+// Writer writes lines to another writer in the background. Lines that find the
+// queue full are dropped and counted. Otherwise a log reader that stops reading
+// would block every request that logs.
 type Writer struct {
 	out     io.Writer
 	lines   chan []byte
@@ -34,9 +34,9 @@
 	dropped atomic.Int64
 }
 
-// NewWriter returns a Writer that writes to out until it is closed.
+// NewWriter returns a Writer that writes to out until Close.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, queueLines), done: make(chan struct{})}
+	w := &Writer{out: out, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -51,34 +51,36 @@
 	return len(p), nil
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what is queued. Nothing may be written after it.
+// Close writes the queued lines and stops the Writer. Write must not be called
+// after it.
 func (w *Writer) Close() error {
 	w.once.Do(func() { close(w.lines) })
 	<-w.done
 	return nil
 }
 
-// run writes the lines. A line that cannot be written is lost: there is no
-// other place to tell of it.
+// run writes the queued lines. Write errors are ignored, as there is no other
+// place to report them. When the queue is empty again, run logs how many lines
+// were dropped.
 func (w *Writer) run() {
 	defer close(w.done)
-	told := int64(0)
+	reported := int64(0)
 	for line := range w.lines {
 		_, _ = w.out.Write(line)
-		if n := w.dropped.Load(); n > told && len(w.lines) == 0 {
-			_, _ = fmt.Fprintf(w.out, "level=warning msg=LinesDropped Lines=%d\n", n-told)
-			told = n
+		if n := w.dropped.Load(); n > reported && len(w.lines) == 0 {
+			_, _ = fmt.Fprintf(w.out, "level=warning msg=LinesDropped Lines=%d\n", n-reported)
+			reported = n
 		}
 	}
 }
 
-// timeFormat of a line, in milliseconds.
+// timeFormat is the format of a line's time, with milliseconds.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// New returns a log that writes key=value lines to w.
+// New returns a logger that writes key=value lines to w.
 func New(w io.Writer, debug bool) *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(w)
--- a/io/logline/logline_test.go
+++ b/io/logline/logline_test.go
@@ -11,21 +11,22 @@
 	"auburnlatch/io/logline"
 )
 
-// stuck is a reader that reads nothing until it is freed.
-type stuck struct {
-	free chan struct{}
-	got  bytes.Buffer
+// blockedWriter is a writer that blocks until unblock is closed.
+type blockedWriter struct {
+	unblock chan struct{}
+	got     bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.free
-	return s.got.Write(p)
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	<-w.unblock
+	return w.got.Write(p)
 }
 
-// Whoever reads the logs stops reading. Requests that log must go on; what does
-// not fit is dropped and counted, and the count is told when the reader is back.
-func TestSlowReaderHoldsNobodyUp(t *testing.T) {
-	out := &stuck{free: make(chan struct{})}
+// Guards against requests that block on logging because the reader of the logs has
+// stopped reading. Lines that do not fit the queue are dropped and counted, and the
+// count is logged when the reader continues.
+func TestStoppedReaderDoesNotBlockLogging(t *testing.T) {
+	out := &blockedWriter{unblock: make(chan struct{})}
 	w := logline.NewWriter(out)
 	log := logline.New(w, false)
 	const lines = 5000
@@ -35,15 +36,15 @@
 	if w.Dropped() == 0 || w.Dropped() >= lines {
 		t.Errorf("%d of %d lines were dropped", w.Dropped(), lines)
 	}
-	close(out.free)
+	close(out.unblock)
 	w.Close()
 	if got := out.got.String(); !strings.Contains(got, "msg=Event Line=0") || !strings.Contains(got, fmt.Sprintf("LinesDropped Lines=%d", w.Dropped())) {
-		t.Errorf("the first line or the count of those dropped is not there")
+		t.Errorf("the first line or the count of dropped lines is missing")
 	}
 }
 
-// BenchmarkLogRequest is the cost of one line with the fields of a request that was
-// answered.
+// BenchmarkLogRequest measures the logging of one line with the fields of an answered
+// request.
 func BenchmarkLogRequest(b *testing.B) {
 	w := logline.NewWriter(discard{})
 	log := logline.New(w, false).WithField("VM", "a")
@@ -62,7 +63,7 @@
 
 func (discard) Write(p []byte) (int, error) { return len(p), nil }
 
-const saved = `time="2030-01-01T00:00:02.000Z" level=info msg=RequestGivenUp Err="dial tcp: i/o timeout" Reason=Unreachable Request=r1 Service=s TargetZone=z VM=b
+const savedLog = `time="2030-01-01T00:00:02.000Z" level=info msg=RequestGivenUp Err="dial tcp: i/o timeout" Reason=Unreachable Request=r1 Service=s TargetZone=z VM=b
 edge-a | time="2030-01-01T00:00:01.000Z" level=info msg=UpstreamFailed Reason=Broken Request=r1 Service=s Target=i-1 TargetZone=z VM=a
 not a line of a log
 time="2030-01-01T00:00:03.000Z" level=info msg=RequestAnswered Request=r2 Service=s VM=a
@@ -70,7 +71,7 @@
 `
 
 func TestTraceAndSummary(t *testing.T) {
-	lines, err := logline.Read(strings.NewReader(saved))
+	lines, err := logline.Read(strings.NewReader(savedLog))
 	if err != nil || len(lines) != 4 {
 		t.Fatalf("read %d lines, %v, want 4", len(lines), err)
 	}
--- a/io/logline/parse.go
+++ b/io/logline/parse.go
@@ -19,12 +19,12 @@
 	Text string
 }
 
-// Field is one key and its value.
+// Field is a key with its value.
 type Field struct {
 	Name, Value string
 }
 
-// Get returns the value of a field, or "".
+// Get returns the value of the first field with a name, or "".
 func (l *Line) Get(name string) string {
 	for _, f := range l.Fields {
 		if f.Name == name {
@@ -34,11 +34,11 @@
 	return ""
 }
 
-// maxLine is the longest line read, in bytes.
+// maxLine is the length in bytes from which Read fails on a line.
 const maxLine = 1 << 20
 
-// Read returns the lines of a log. What is no key=value line is left out; what
-// stands before time= on a line, as where several logs were put together, too.
+// Read returns the lines of a log. Lines that are not key=value lines are skipped,
+// and so is any text before time= on a line, as tools that merge logs add it.
 func Read(r io.Reader) ([]Line, error) {
 	var lines []Line
 	sc := bufio.NewScanner(r)
@@ -51,7 +51,8 @@
 	return lines, sc.Err()
 }
 
-// parse splits a line into its fields. Quoted values are unquoted.
+// parse splits a line into its fields and unquotes quoted values. It reports whether the
+// line has a time and an event.
 func parse(text string) (Line, bool) {
 	start := strings.Index(text, "time=")
 	if start < 0 {
@@ -74,7 +75,7 @@
 	return l, err == nil && l.Event != ""
 }
 
-// cutValue cuts a value, quoted or not, from what follows it.
+// cutValue splits off a leading value, quoted or not.
 func cutValue(s string) (value, rest string) {
 	if quoted, err := strconv.QuotedPrefix(s); err == nil {
 		if value, err = strconv.Unquote(quoted); err == nil {
@@ -85,8 +86,8 @@
 	return value, rest
 }
 
-// Trace returns the lines about one request, or with an upstream's incarnation
-// or any other value in their fields, oldest first.
+// Trace returns the lines that have id as the value of a field, oldest first. It may be
+// the ID of a request, of an upstream's incarnation or any other value.
 func Trace(lines []Line, id string) []Line {
 	var found []Line
 	for _, l := range lines {
@@ -98,14 +99,15 @@
 	return found
 }
 
-// Count is how many lines share an event and what explains it.
+// Count is the number of lines that share an event, its reason and where it occurred.
 type Count struct {
 	Event, Reason, Service, TargetZone, VM string
 	N                                      int
 }
 
-// Summarize counts what went wrong: requests given up on, upstreams that failed,
-// lines dropped and dependencies lost, the most frequent first.
+// Summarize counts the events that report a problem, such as failed requests and
+// upstreams, dropped lines and lost dependencies, the most frequent first. If byVM is
+// set, it counts each VM separately.
 func Summarize(lines []Line, byVM bool) []Count {
 	counts := make(map[Count]int)
 	for i := range lines {
