--- a/io/settings/entry.go
+++ b/io/settings/entry.go
@@ -14,7 +14,7 @@
 	"auburnlatch/schema"
 )
 
-// Entry is the settings of one entry process.
+// Entry holds the settings of one entry VM.
 type Entry struct {
 	Name, Zone, Region string
 	FrontAddr          string
@@ -23,60 +23,64 @@
 	PeerAddr           string
 	MetricsAddr        string
 	Seeds              []string
-	// Regions is the region of each availability zone.
+	// Regions maps each availability zone to its region.
 	Regions      map[string]string
 	PlatformAddr string
 
 	// StopGrace is the time between SIGTERM and SIGKILL.
 	StopGrace time.Duration
-	// RetryRatio, RetryWindow and RetryExtra bound how often requests are sent
-	// again, by all VMs together.
+	// RetryRatio, RetryWindow and RetryExtra bound the retries of all VMs together:
+	// the ratio of retries to requests within the window, and a number of retries
+	// in addition.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetryExtra  int
 	// UpstreamHeartbeat is the interval at which upstreams renew their
 	// registration.
 	UpstreamHeartbeat time.Duration
-	// LeaveWithin is the time in which an upstream that leaves must get nothing
-	// new any more.
+	// LeaveWithin is the time after which an upstream that leaves must receive no
+	// new requests.
 	LeaveWithin time.Duration
-	// LookupTTL is the longest time a look-up may be cached.
+	// LookupTTL is the time for which callers may cache a look-up.
 	LookupTTL time.Duration
-	// RevokeWithin is the time after which a key that was taken away admits nothing, also
-	// where the platform cannot be reached; 0: there keys are gone by as they are known.
+	// RevokeWithin is the time after which a revoked key is rejected, even if the platform
+	// cannot be reached. If 0, VMs that cannot reach the platform use the keys as they
+	// last knew them.
 	RevokeWithin time.Duration
-	// Limits say how teams' requests are counted against their limits.
+	// Limits bounds how far teams may exceed their limits.
 	Limits ratelimit.Bounds
-	// Capacity is what the VM has.
+	// Capacity is the VM's link and CPU capacity.
 	Capacity member.Capacity
 	// FirstStart says that all VMs start for the first time, before there are callers.
 	FirstStart bool
 }
 
-// The defaults of an entry process.
+// Defaults and limits of an entry VM's settings.
 const (
-	defaultEntryGrace  = 10 * time.Second
-	defaultRetryWindow = 10 * time.Second
-	defaultLeaveWithin = 2 * time.Second
-	defaultUpstreamHB  = 1500 * time.Millisecond
-	defaultLimitWindow = 5 * time.Second
-	leastRevoke        = 2500 * time.Millisecond
+	defaultEntryStopGrace    = 10 * time.Second
+	defaultRetryWindow       = 10 * time.Second
+	defaultLeaveWithin       = 2 * time.Second
+	defaultUpstreamHeartbeat = 1500 * time.Millisecond
+	defaultLimitWindow       = 5 * time.Second
+	// minRevokeWithin covers the exchange between VMs, which is twice a second, and a VM
+	// that has just started, which takes one second more.
+	minRevokeWithin = 2500 * time.Millisecond
 )
 
-// ParseEntry reads and checks settings; name stands for the file in errors.
+// ParseEntry parses and checks settings of an entry VM. Errors refer to the file as name.
 func ParseEntry(name string, data []byte) (*Entry, error) {
-	standard, err := hujson.Standardize(data)
+	plainJSON, err := hujson.Standardize(data)
 	if err != nil {
 		return nil, errors.Wrapf(err, "%s", name)
 	}
 	m := &schema.EntrySettings{}
-	if err := protojson.Unmarshal(standard, m); err != nil {
-		return nil, errors.Newf("%s: %s", name, plain(err))
+	if err := protojson.Unmarshal(plainJSON, m); err != nil {
+		return nil, errors.Newf("%s: %s", name, trimProto(err))
 	}
 	c := &checker{name: name, data: data}
 	s := c.entry(m)
-	if len(c.faults) > 0 {
-		return nil, errors.New(strings.Join(c.faults, "\n"))
+	if len(c.problems) > 0 {
+		return nil, errors.New(strings.Join(c.problems, "\n"))
 	}
 	return s, nil
 }
@@ -88,11 +92,11 @@
 		FrontAddr: m.GetFrontAddr(), ReadyAddr: m.GetReadyAddr(), DirectoryAddr: m.GetDirectoryAddr(),
 		PeerAddr: m.GetPeerAddr(), MetricsAddr: m.GetMetricsAddr(), Seeds: m.GetSeeds(), Regions: m.GetRegions(),
 		PlatformAddr:      m.GetPlatform().GetAddr(),
-		StopGrace:         c.duration("Bounds/StopGrace", b.GetStopGrace(), defaultEntryGrace),
+		StopGrace:         c.duration("Bounds/StopGrace", b.GetStopGrace(), defaultEntryStopGrace),
 		RetryRatio:        b.GetRetryRatio(),
 		RetryWindow:       c.duration("Bounds/RetryWindow", b.GetRetryWindow(), defaultRetryWindow),
-		RetryExtra:        int(b.GetRetryExtra()), // A part of a retry is none.
-		UpstreamHeartbeat: c.duration("Bounds/Heartbeat", b.GetHeartbeat(), defaultUpstreamHB),
+		RetryExtra:        int(b.GetRetryExtra()), // Rounded down.
+		UpstreamHeartbeat: c.duration("Bounds/Heartbeat", b.GetHeartbeat(), defaultUpstreamHeartbeat),
 		LeaveWithin:       c.duration("Bounds/LeaveWithin", b.GetLeaveWithin(), defaultLeaveWithin),
 		LookupTTL:         c.duration("Bounds/LookupTtl", b.GetLookupTtl(), defaultLookupTTL),
 		FirstStart:        m.GetFirstStart(),
@@ -104,9 +108,9 @@
 			LinkMbps: m.GetCapacity().GetLinkMbps(), Cores: m.GetCapacity().GetCpuShare() * m.GetCapacity().GetCores(),
 		},
 	}
-	c.want(s.Name != "", "Name", "is missing; a name no other VM has would do")
-	c.want(s.Regions[s.Zone] != "", "Zone", fmt.Sprintf("%q is not in Regions; an availability zone listed there would do", s.Zone))
-	c.want(s.Region == s.Regions[s.Zone], "Region", fmt.Sprintf("%q is not the region of zone %q, which is %q", s.Region, s.Zone, s.Regions[s.Zone]))
+	c.require(s.Name != "", "Name", "is missing; use a name that no other VM has")
+	c.require(s.Regions[s.Zone] != "", "Zone", fmt.Sprintf("%q is not in Regions; use an availability zone listed there", s.Zone))
+	c.require(s.Region == s.Regions[s.Zone], "Region", fmt.Sprintf("%q is not the region of zone %q, which is %q", s.Region, s.Zone, s.Regions[s.Zone]))
 	c.addr("FrontAddr", s.FrontAddr)
 	c.addr("ReadyAddr", s.ReadyAddr)
 	c.addr("DirectoryAddr", s.DirectoryAddr)
@@ -118,23 +122,23 @@
 	for _, seed := range s.Seeds {
 		c.addr("Seeds", seed)
 	}
-	c.want(s.RetryRatio >= 0 && s.RetryRatio <= 1, "Bounds/RetryRatio", "must be from 0 to 1")
-	c.want(s.Capacity.LinkMbps >= 0, "Capacity/LinkMbps", "must not be below 0; 0 says that it is not known")
-	c.want(m.GetCapacity().GetCpuShare() >= 0, "Capacity/CpuShare", "must not be below 0; 0 says that it is not known")
-	c.want(m.GetCapacity().GetCores() >= 0, "Capacity/Cores", "must not be below 0; 0 says that it is not known")
-	c.want(s.RevokeWithin == 0 || s.RevokeWithin >= leastRevoke, "Bounds/RevokeWithin", "must be 2.5s at least: VMs hear of each other twice a second, and one that has just started a second later")
-	c.want(s.Limits.Excess >= 0 && s.Limits.Excess <= 1, "Bounds/LimitExcess", "must be from 0 to 1")
-	c.want(s.Limits.Slack >= 0, "Bounds/LimitSlack", "must not be below 0")
-	c.want(s.RetryExtra >= 0, "Bounds/RetryExtra", "must not be below 0")
+	c.require(s.RetryRatio >= 0 && s.RetryRatio <= 1, "Bounds/RetryRatio", "must be from 0 to 1")
+	c.require(s.Capacity.LinkMbps >= 0, "Capacity/LinkMbps", "must not be below 0; 0 means unknown")
+	c.require(m.GetCapacity().GetCpuShare() >= 0, "Capacity/CpuShare", "must not be below 0; 0 means unknown")
+	c.require(m.GetCapacity().GetCores() >= 0, "Capacity/Cores", "must not be below 0; 0 means unknown")
+	c.require(s.RevokeWithin == 0 || s.RevokeWithin >= minRevokeWithin, "Bounds/RevokeWithin", "must be at least 2.5s, or 0: VMs exchange state twice a second, and a VM that has just started takes 1s more")
+	c.require(s.Limits.Excess >= 0 && s.Limits.Excess <= 1, "Bounds/LimitExcess", "must be from 0 to 1")
+	c.require(s.Limits.Slack >= 0, "Bounds/LimitSlack", "must not be below 0")
+	c.require(s.RetryExtra >= 0, "Bounds/RetryExtra", "must not be below 0")
 	return s
 }
 
-// duration parses a positive duration, def where the text is empty.
+// duration parses a duration above 0, or returns def if text is empty.
 func (c *checker) duration(field, text string, def time.Duration) time.Duration {
 	if text == "" {
 		return def
 	}
 	d, err := time.ParseDuration(text)
-	c.want(err == nil && d > 0, field, fmt.Sprintf("%q is no duration above 0; 2.5s would do", text))
+	c.require(err == nil && d > 0, field, fmt.Sprintf("%q is not a duration above 0, such as 2.5s", text))
 	return d
 }
--- a/io/settings/entry_test.go
+++ b/io/settings/entry_test.go
@@ -8,7 +8,7 @@
 	"auburnlatch/io/settings"
 )
 
-const goodEntry = `{
+const validEntry = `{
 	// One VM.
 	"Name": "a", "Zone": "n-1", "Region": "n", "Regions": {"n-1": "n"},
 	"FrontAddr": "10.0.0.1:1", "ReadyAddr": "10.0.0.1:2", "DirectoryAddr": "10.0.0.1:3", "PeerAddr": "10.0.0.1:4",
@@ -17,7 +17,7 @@
 }`
 
 func TestParseEntry(t *testing.T) {
-	cfg, err := settings.ParseEntry("f", []byte(goodEntry))
+	cfg, err := settings.ParseEntry("f", []byte(validEntry))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,28 +26,27 @@
 	}
 }
 
-func TestParseEntryRefuses(t *testing.T) {
+func TestParseEntryRejects(t *testing.T) {
 	for _, tc := range []struct{ old, new, want string }{
 		{`"Name": "a",`, ``, "Name: is missing"},
 		{`"Zone": "n-1"`, `"Zone": "x"`, `f:3: Zone: "x" is not in Regions`},
 		{`"Region": "n"`, `"Region": "s"`, `f:3: Region: "s" is not the region`},
-		{`"10.0.0.1:3"`, `"here"`, `f:4: DirectoryAddr: "here" is no IP:port`},
+		{`"10.0.0.1:3"`, `"here"`, `f:4: DirectoryAddr: "here" is not an IP:port`},
 		{`"RetryRatio": 0.2`, `"RetryRatio": 2`, "f:6: Bounds.RetryRatio: must be from 0 to 1"},
-		{`"RetryRatio": 0.2`, `"StopGrace": "soon"`, `f:6: Bounds.StopGrace: "soon" is no duration`},
+		{`"RetryRatio": 0.2`, `"StopGrace": "soon"`, `f:6: Bounds.StopGrace: "soon" is not a duration`},
 		{`"RetryRatio": 0.2`, `"Ratio": 2`, "Ratio"},
 		{`"Bounds"`, `"Capacity": {"LinkMbps": -1}, "Bounds"`, "Capacity.LinkMbps: must not be below 0"},
 	} {
-		_, err := settings.ParseEntry("f", []byte(strings.Replace(goodEntry, tc.old, tc.new, 1)))
+		_, err := settings.ParseEntry("f", []byte(strings.Replace(validEntry, tc.old, tc.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%s: got %v, want %q", tc.new, err, tc.want)
 		}
 	}
 }
 
-// A platform whose bounds follow from its size gives fractions where whole numbers are
-// usual: 30.7 retries on top. Every VM refused its settings and ended at once, and
-// nothing was served.
-func TestBoundsMayBeFractions(t *testing.T) {
+// Guards against VMs that reject their settings and exit because RetryExtra is a fraction:
+// a platform that computes its bounds from its size sets values such as 30.7.
+func TestRetryExtraMayBeAFraction(t *testing.T) {
 	for _, tc := range []struct {
 		bound string
 		want  int
@@ -57,20 +56,20 @@
 		{"30.0", 30},
 		{"0.9", 0},
 	} {
-		text := strings.Replace(goodEntry, `"RetryRatio": 0.2`, `"RetryRatio": 0.2, "RetryExtra": `+tc.bound, 1)
+		text := strings.Replace(validEntry, `"RetryRatio": 0.2`, `"RetryRatio": 0.2, "RetryExtra": `+tc.bound, 1)
 		cfg, err := settings.ParseEntry("f", []byte(text))
 		if err != nil {
 			t.Errorf("%s: %v", tc.bound, err)
 			continue
 		}
 		if cfg.RetryExtra != tc.want {
-			t.Errorf("%s: %d retries on top, want %d", tc.bound, cfg.RetryExtra, tc.want)
+			t.Errorf("%s: RetryExtra is %d, want %d", tc.bound, cfg.RetryExtra, tc.want)
 		}
 	}
 }
 
 func TestParseEntryCapacity(t *testing.T) {
-	text := strings.Replace(goodEntry, `"Bounds"`, `"Capacity": {"LinkMbps": 20, "CpuShare": 0.5, "Cores": 2}, "Bounds"`, 1)
+	text := strings.Replace(validEntry, `"Bounds"`, `"Capacity": {"LinkMbps": 20, "CpuShare": 0.5, "Cores": 2}, "Bounds"`, 1)
 	cfg, err := settings.ParseEntry("f", []byte(text))
 	if err != nil {
 		t.Fatal(err)
--- a/io/settings/settings.go
+++ b/io/settings/settings.go
@@ -1,11 +1,11 @@
-// Package settings reads the settings file of a VM: JSON with comments, by the
-// schema in schema/settings.proto, every value checked.
+// Package settings reads and checks the settings file of a VM: JSON with comments,
+// with the schema in schema/settings.proto.
 //
 // # Usage
 //
 //	cfg, err := settings.Load("/etc/auburnlatch/vm.jsonc")
 //
-// The error lists every fault with file, line, field and what would do.
+// The error lists every problem with its file, line, field and how to correct it.
 package settings
 
 import (
@@ -24,7 +24,7 @@
 	"auburnlatch/schema"
 )
 
-// Settings of one VM.
+// Settings holds the settings of one VM.
 type Settings struct {
 	Name, Zone   string
 	CallerAddr   string
@@ -41,12 +41,13 @@
 	Timing Timing
 }
 
-// TLS guards the operators' interface; nil: none.
+// TLS holds the certificate files of the operators' interface. Without them (nil) the
+// interface uses no TLS.
 type TLS struct {
 	CertFile, KeyFile, ClientCAFile string
 }
 
-// Limits bounds what one VM accepts from callers.
+// Limits bounds the requests that one VM accepts from callers. Sizes are in bytes.
 type Limits struct {
 	MaxHeaderBytes  int
 	MaxBodyBytes    int64
@@ -59,7 +60,7 @@
 	Heartbeat, FailAfter, JoinHold, ConfigPoll, LookupTTL, Probe, StopGrace time.Duration
 }
 
-// The defaults.
+// Defaults of a VM's settings. Sizes are in bytes.
 const (
 	defaultPlatformTimeout = 2 * time.Second
 	defaultMaxHeaderBytes  = 64 << 10
@@ -84,28 +85,29 @@
 	return Parse(path, data)
 }
 
-// Parse reads and checks settings; name stands for the file in errors.
+// Parse parses and checks settings. Errors refer to the file as name.
 func Parse(name string, data []byte) (*Settings, error) {
-	standard, err := hujson.Standardize(data)
+	plainJSON, err := hujson.Standardize(data)
 	if err != nil {
 		return nil, errors.Wrapf(err, "%s", name)
 	}
 	m := &schema.Settings{}
-	if err := protojson.Unmarshal(standard, m); err != nil {
-		// Comments were replaced by blanks, so the lines are the file's own.
-		return nil, errors.Newf("%s: %s", name, plain(err))
+	if err := protojson.Unmarshal(plainJSON, m); err != nil {
+		// Standardize replaces comments by spaces, so line numbers match the file.
+		return nil, errors.Newf("%s: %s", name, trimProto(err))
 	}
 	s := fromSchema(m)
 	c := &checker{name: name, data: data}
 	c.check(s)
-	if len(c.faults) > 0 {
-		return nil, errors.New(strings.Join(c.faults, "\n"))
+	if len(c.problems) > 0 {
+		return nil, errors.New(strings.Join(c.problems, "\n"))
 	}
 	return s, nil
 }
 
-// plain strips what protojson puts before its messages.
-func plain(err error) string {
+// trimProto returns an error's message without the prefix that protojson adds. protojson
+// varies the kind of space in it.
+func trimProto(err error) string {
 	s := strings.ReplaceAll(err.Error(), "\u00a0", " ")
 	return strings.TrimPrefix(s, "proto: ")
 }
@@ -142,16 +144,16 @@
 	return v
 }
 
-// checker gathers faults.
+// checker collects the problems found in a settings file.
 type checker struct {
-	name   string
-	data   []byte
-	faults []string
+	name     string
+	data     []byte
+	problems []string
 }
 
 func (c *checker) check(s *Settings) {
-	c.want(s.Name != "", "Name", "is missing; a name no other VM has would do")
-	c.want(s.Zone != "", "Zone", "is missing; the availability zone's name in the inventory would do")
+	c.require(s.Name != "", "Name", "is missing; use a name that no other VM has")
+	c.require(s.Zone != "", "Zone", "is missing; use the name of the availability zone in the inventory")
 	c.addr("CallerAddr", s.CallerAddr)
 	c.addr("ForwardAddr", s.ForwardAddr)
 	c.addr("PeerAddr", s.PeerAddr)
@@ -160,14 +162,14 @@
 		c.addr("Seeds", seed)
 	}
 	u, err := url.Parse(s.PlatformURL)
-	c.want(err == nil && (u.Scheme == "http" || u.Scheme == "https") && u.Host != "",
-		"Platform/Url", fmt.Sprintf("%q is no address; http://10.0.0.1:7400 would do", s.PlatformURL))
+	c.require(err == nil && (u.Scheme == "http" || u.Scheme == "https") && u.Host != "",
+		"Platform/Url", fmt.Sprintf("%q is not an http or https URL, such as http://10.0.0.1:7400", s.PlatformURL))
 	c.timing(s.Timing)
-	c.want(s.PlatformTimeout > 0, "Platform/Timeout", "must be above 0s")
-	c.want(s.Limits.MaxHeaderBytes >= 1024, "Limits/MaxHeaderBytes", "must be at least 1024")
-	c.want(s.Limits.MaxBodyBytes > 0, "Limits/MaxBodyBytes", "must be above 0")
-	c.want(s.Limits.MaxInFlight > 0, "Limits/MaxInFlight", "must be above 0")
-	c.want(s.Limits.MaxStoredAnswer > 0, "Limits/MaxStoredAnswer", "must be above 0")
+	c.require(s.PlatformTimeout > 0, "Platform/Timeout", "must be above 0s")
+	c.require(s.Limits.MaxHeaderBytes >= 1024, "Limits/MaxHeaderBytes", "must be at least 1024")
+	c.require(s.Limits.MaxBodyBytes > 0, "Limits/MaxBodyBytes", "must be above 0")
+	c.require(s.Limits.MaxInFlight > 0, "Limits/MaxInFlight", "must be above 0")
+	c.require(s.Limits.MaxStoredAnswer > 0, "Limits/MaxStoredAnswer", "must be above 0")
 	if s.TLS != nil {
 		c.file("OperatorTls/CertFile", s.TLS.CertFile)
 		c.file("OperatorTls/KeyFile", s.TLS.KeyFile)
@@ -181,35 +183,37 @@
 	c.positive("Timing/LookupTtl", t.LookupTTL)
 	c.positive("Timing/Probe", t.Probe)
 	c.positive("Timing/StopGrace", t.StopGrace)
-	c.want(t.FailAfter >= 3*t.Heartbeat, "Timing/FailAfter",
-		fmt.Sprintf("%v is below three heartbeats of %v; at least %v would do", t.FailAfter, t.Heartbeat, 3*t.Heartbeat))
-	c.want(t.JoinHold >= t.FailAfter, "Timing/JoinHold",
-		fmt.Sprintf("%v is below FailAfter; at least %v would do", t.JoinHold, t.FailAfter))
+	c.require(t.FailAfter >= 3*t.Heartbeat, "Timing/FailAfter",
+		fmt.Sprintf("%v is below three heartbeats of %v; use at least %v", t.FailAfter, t.Heartbeat, 3*t.Heartbeat))
+	c.require(t.JoinHold >= t.FailAfter, "Timing/JoinHold",
+		fmt.Sprintf("%v is below FailAfter; use at least %v", t.JoinHold, t.FailAfter))
 }
 
 func (c *checker) positive(field string, d time.Duration) {
-	c.want(d > 0, field, fmt.Sprintf("%v is not above 0s", d))
+	c.require(d > 0, field, fmt.Sprintf("%v is not above 0s", d))
 }
 
 func (c *checker) addr(field, s string) {
 	_, err := netip.ParseAddrPort(s)
-	c.want(err == nil, field, fmt.Sprintf("%q is no IP:port; 10.0.0.1:7000 would do", s))
+	c.require(err == nil, field, fmt.Sprintf("%q is not an IP:port, such as 10.0.0.1:7000", s))
 }
 
 func (c *checker) file(field, path string) {
 	_, err := os.Stat(path)
-	c.want(err == nil, field, fmt.Sprintf("cannot read %q; all three files of OperatorTls are needed", path))
+	c.require(err == nil, field, fmt.Sprintf("cannot read %q; OperatorTls needs all three files", path))
 }
 
-func (c *checker) want(ok bool, field, problem string) {
+// require records a problem of a field unless ok. field is the path in the settings, with
+// slashes.
+func (c *checker) require(ok bool, field, problem string) {
 	if ok {
 		return
 	}
-	c.faults = append(c.faults, fmt.Sprintf("%s:%d: %s: %s", c.name, c.line(field), strings.ReplaceAll(field, "/", "."), problem))
+	c.problems = append(c.problems, fmt.Sprintf("%s:%d: %s: %s", c.name, c.line(field), strings.ReplaceAll(field, "/", "."), problem))
 }
 
-// line returns the line a field stands on, or that of the nearest object
-// around it where the field is absent.
+// line returns the line of a field or, if the field is missing, of the innermost
+// object that would contain it.
 func (c *checker) line(field string) int {
 	v, err := hujson.Parse(c.data)
 	if err != nil {
--- a/io/settings/settings_test.go
+++ b/io/settings/settings_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-const whole = `{
+const validSettings = `{
 	// The VM itself.
 	"Name": "vm-a", "Zone": "ro-nord-1",
 	"CallerAddr": "127.0.0.1:1", "ForwardAddr": "127.0.0.1:2",
@@ -18,7 +18,7 @@
 }`
 
 func TestParse(t *testing.T) {
-	s, err := Parse("vm.jsonc", []byte(whole))
+	s, err := Parse("vm.jsonc", []byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,14 +32,14 @@
 		name, old, new, want string
 	}{
 		{"unknown field", `"Name"`, `"Nam"`, `(line 3:2): unknown field "Nam"`},
-		{"bad address", `"127.0.0.1:3"`, `"host:3"`, `vm.jsonc:5: PeerAddr: "host:3" is no IP:port; 10.0.0.1:7000 would do`},
-		{"missing", `"Zone": "ro-nord-1",`, ``, `vm.jsonc:1: Zone: is missing`},
-		{"two that contradict", `"0.25s"`, `"2s"`, `vm.jsonc:7: Timing.FailAfter: 5s is below three heartbeats of 2s; at least 6s would do`},
+		{"bad address", `"127.0.0.1:3"`, `"host:3"`, `vm.jsonc:5: PeerAddr: "host:3" is not an IP:port, such as 10.0.0.1:7000`},
+		{"missing field", `"Zone": "ro-nord-1",`, ``, `vm.jsonc:1: Zone: is missing`},
+		{"contradicting fields", `"0.25s"`, `"2s"`, `vm.jsonc:7: Timing.FailAfter: 5s is below three heartbeats of 2s; use at least 6s`},
 		{"wrong type", `"0.25s"`, `7`, `(line 8:16)`},
-		{"no JSON", `{`, `[`, `vm.jsonc`},
+		{"invalid JSON", `{`, `[`, `vm.jsonc`},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			_, err := Parse("vm.jsonc", []byte(strings.Replace(whole, tc.old, tc.new, 1)))
+			_, err := Parse("vm.jsonc", []byte(strings.Replace(validSettings, tc.old, tc.new, 1)))
 			if err == nil || !strings.Contains(err.Error(), tc.want) {
 				t.Errorf("err = %v, want it to contain %q", err, tc.want)
 			}
