--- a/io/operator/client.go
+++ b/io/operator/client.go
@@ -28,7 +28,7 @@
 	http *http.Client
 }
 
-// NewClient returns a client of the VM at IP:port; t may be nil, for no TLS.
+// NewClient returns a client of the VM at addr, IP:port. If t is nil, it uses no TLS.
 func NewClient(addr string, t *settings.TLS) (*Client, error) {
 	c := &Client{base: "http://" + addr, http: &http.Client{Timeout: clientTimeout}}
 	if t == nil {
@@ -45,7 +45,7 @@
 	return c, nil
 }
 
-// CallError is a call that the VM refused.
+// CallError reports that the VM rejected a call.
 type CallError struct {
 	Status int
 	Reply  *schema.OperatorError
@@ -63,26 +63,27 @@
 	return wire.Inventory(m)
 }
 
-// Apply sends a change and returns the version it made.
+// Apply sends a change and returns the version that it created. With insist, the
+// change may leave services without a target in use.
 func (c *Client) Apply(ctx context.Context, change inventory.Change, insist bool) (uint64, error) {
 	m := &schema.ApplyReply{}
 	err := c.post(ctx, fmt.Sprintf("/changes?insist=%t", insist), wire.FromChange(change), m)
 	return m.GetVersion(), err
 }
 
-// Status returns the VM's view of the whole.
+// Status returns the VM's view of all zones.
 func (c *Client) Status(ctx context.Context) (*schema.Status, error) {
 	m := &schema.Status{}
 	return m, c.get(ctx, "/status", m)
 }
 
-// Dump returns the VM's state.
+// Dump returns the VM's whole state.
 func (c *Client) Dump(ctx context.Context) (*schema.Dump, error) {
 	m := &schema.Dump{}
 	return m, c.get(ctx, "/dump", m)
 }
 
-// Explain returns why a caller gets what it gets.
+// Explain returns why a caller with an IP address gets its VMs and upstreams.
 func (c *Client) Explain(ctx context.Context, client, service string) (*schema.Explanation, error) {
 	m := &schema.Explanation{}
 	q := url.Values{"client": {client}, "service": {service}}
@@ -107,7 +108,7 @@
 func (c *Client) post(ctx context.Context, path string, m, into proto.Message) error {
 	data, err := protojson.Marshal(m)
 	if err != nil {
-		return errors.Wrap(err, "encode")
+		return errors.Wrap(err, "encode request")
 	}
 	return c.call(ctx, http.MethodPost, path, data, into)
 }
@@ -115,24 +116,24 @@
 func (c *Client) call(ctx context.Context, method, path string, body []byte, into proto.Message) error {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "request")
+		return errors.Wrap(err, "create request")
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return errors.Wrap(err, "call")
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxRequest))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
 	if err != nil {
-		return errors.Wrap(err, "call")
+		return errors.Wrap(err, "read response")
 	}
-	lenient := protojson.UnmarshalOptions{DiscardUnknown: true}
+	opts := protojson.UnmarshalOptions{DiscardUnknown: true}
 	if resp.StatusCode != http.StatusOK {
 		e := &CallError{Status: resp.StatusCode, Reply: &schema.OperatorError{}}
-		if err := lenient.Unmarshal(data, e.Reply); err != nil {
-			return errors.Newf("call: status %d", resp.StatusCode)
+		if err := opts.Unmarshal(data, e.Reply); err != nil {
+			return errors.Newf("call: status %d without an error message", resp.StatusCode)
 		}
 		return e
 	}
-	return errors.Wrap(lenient.Unmarshal(data, into), "decode")
+	return errors.Wrap(opts.Unmarshal(data, into), "decode response")
 }
--- a/io/operator/doc.go
+++ b/io/operator/doc.go
@@ -1,20 +1,20 @@
-// Package operator is the operators' interface of a VM, JSON over HTTP, and its
-// client.
+// Package operator provides the operators' interface of a VM, JSON over HTTP, and
+// its client.
 //
-// # The interface
+// # Interface
 //
 //	GET  /inventory              the inventory in force
-//	POST /changes[?insist=true]  a change; 409 tells what others changed meanwhile
-//	GET  /status                 zones, versions in force, load
-//	GET  /dump                   every input of this VM's decisions and what it decided
-//	GET  /explain?client=&service=
+//	POST /changes[?insist=true]  makes a change; 409 lists conflicting changes
+//	GET  /status                 zones, versions in force and load
+//	GET  /dump                   the inputs and results of this VM's decisions
+//	GET  /explain?client=&service=  why a caller gets its VMs and upstreams
 //	GET  /claims                 claims that are not settled
-//	POST /claims/resolve
+//	POST /claims/resolve         settles a claim
 //	GET  /debug/vars             metrics (expvar)
 //
-// It listens on an address of its own. Where the settings name certificates it
-// takes TLS with client certificates only; without them whoever reaches the
-// address may use it, so it belongs on a network of the operators'.
+// The interface has its own address. If the settings name certificates, it accepts
+// only TLS with client certificates. Without certificates, everybody who can reach the
+// address can use it, so the address should be on a network for operators only.
 //
 // # Usage
 //
--- a/io/operator/file.go
+++ b/io/operator/file.go
@@ -12,20 +12,20 @@
 	"auburnlatch/schema"
 )
 
-// LoadInventory reads an inventory file, JSON with comments, and checks it.
-// The error is an *inventory.FaultsError where the file could be read but the
-// inventory in it does not hold together.
+// LoadInventory reads and checks an inventory file, JSON with comments. The error
+// is an *inventory.FaultsError if the file was decoded but its inventory is
+// inconsistent.
 func LoadInventory(path string) (*inventory.Inventory, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "inventory")
 	}
-	standard, err := hujson.Standardize(data)
+	plainJSON, err := hujson.Standardize(data)
 	if err != nil {
 		return nil, errors.Wrapf(err, "%s", path)
 	}
 	m := &schema.Inventory{}
-	if err := protojson.Unmarshal(standard, m); err != nil {
+	if err := protojson.Unmarshal(plainJSON, m); err != nil {
 		return nil, errors.Wrapf(err, "%s", path)
 	}
 	inv, err := wire.Inventory(m)
--- a/io/operator/file_test.go
+++ b/io/operator/file_test.go
@@ -12,7 +12,7 @@
 	"auburnlatch/io/settings"
 )
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	for _, tc := range []struct {
 		file    string
 		targets int
@@ -44,11 +44,11 @@
 		name, text, want string
 	}{
 		{"unknown field", `{"Zone": []}`, `unknown field "Zone"`},
-		{"registered twice", `{"Regions": [{"Name": "r"}, {"Name": "r"}]}`, `Region "r" is registered twice`},
-		{"no such region", `{"Zones": [{"Name": "z", "Region": "r"}]}`, `Zone z: Region: there is no region "r"`},
-		{"bad block", `{"Places": [{"Name": "p", "Blocks": ["10.0.0.0"]}]}`, `Place p: Blocks: "10.0.0.0" is no CIDR prefix`},
-		{"no cap", `{"Services": [{"Name": "s"}]}`, `Service s: MaxShiftPerMinute: 0 is not a share between 0 and 1`},
-		{"bits beyond the length", `{"Regions": [{"Name": "r"}], "Zones": [{"Name": "z", "Region": "r"}],
+		{"duplicate name", `{"Regions": [{"Name": "r"}, {"Name": "r"}]}`, `Region "r" is registered twice`},
+		{"unknown region", `{"Zones": [{"Name": "z", "Region": "r"}]}`, `Zone z: Region: there is no region "r"`},
+		{"invalid block", `{"Places": [{"Name": "p", "Blocks": ["10.0.0.0"]}]}`, `Place p: Blocks: "10.0.0.0" is no CIDR prefix`},
+		{"no shift limit", `{"Services": [{"Name": "s"}]}`, `Service s: MaxShiftPerMinute: 0 is not a share between 0 and 1`},
+		{"bits after the prefix length", `{"Regions": [{"Name": "r"}], "Zones": [{"Name": "z", "Region": "r"}],
 			"Places": [{"Name": "p", "Zone": "z", "Blocks": ["10.0.0.1/8"]}]}`, `use 10.0.0.0/8`},
 	} {
 		path := filepath.Join(t.TempDir(), "inventory.jsonc")
@@ -60,8 +60,8 @@
 			t.Errorf("%s: err = %v, want it to contain %q", tc.name, err, tc.want)
 		}
 		var faults *inventory.FaultsError
-		if strings.Contains(tc.want, ": ") && tc.name == "no cap" && !errors.As(err, &faults) {
-			t.Errorf("%s: %v is no *FaultsError", tc.name, err)
+		if strings.Contains(tc.want, ": ") && tc.name == "no shift limit" && !errors.As(err, &faults) {
+			t.Errorf("%s: %v is not a *FaultsError", tc.name, err)
 		}
 	}
 }
--- a/io/operator/server.go
+++ b/io/operator/server.go
@@ -27,26 +27,27 @@
 )
 
 const (
-	maxRequest    = 64 << 20
+	maxBody       = 64 << 20 // Of requests and responses, in bytes.
 	headerTimeout = 10 * time.Second
 	acceptTimeout = 10 * time.Second
 )
 
-// UnservedError is a change that leaves services without a target in use.
+// UnservedError reports that a change would leave services without a target in use.
 type UnservedError struct {
 	Services []string
 }
 
 // Error implements error.
 func (e *UnservedError) Error() string {
-	return "the change leaves no target in use for some services; insist to make it all the same"
+	return "the change leaves some services without a target in use; use insist to make it anyway"
 }
 
-// VM is what the interface shows and changes.
+// VM is the VM that a Server shows and changes.
 type VM interface {
 	Inventory() *inventory.Inventory
-	// Accept makes a change the newest version, or returns an error with
-	// inventory.ErrVersion, *inventory.FaultsError, *UnservedError or a verdict.
+	// Accept makes a change and returns the new inventory. An error is or wraps
+	// inventory.ErrVersion, *inventory.FaultsError, *UnservedError or *verdict.Error.
+	// With insist, the change may leave services without a target in use.
 	Accept(ctx context.Context, c inventory.Change, insist bool) (*inventory.Inventory, error)
 	ChangesAfter(version uint64) ([]inventory.Change, bool)
 	Status(now time.Time) *schema.Status
@@ -56,14 +57,14 @@
 	ResolveClaim(ctx context.Context, now time.Time, key claim.Key, ran bool) error
 }
 
-// Server serves operators.
+// Server serves the operators' interface.
 type Server struct {
 	vm   VM
 	http *http.Server
 	tls  bool
 }
 
-// NewServer returns a server; t may be nil, for no TLS.
+// NewServer returns a Server for vm. If t is nil, it uses no TLS.
 func NewServer(vm VM, t *settings.TLS) (*Server, error) {
 	s := &Server{vm: vm, tls: t != nil}
 	e := echo.New()
@@ -95,7 +96,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, errors.Newf("operator TLS: no certificate in %s", t.ClientCAFile)
+		return nil, errors.Newf("operator TLS: %s contains no certificate", t.ClientCAFile)
 	}
 	return &tls.Config{
 		Certificates: []tls.Certificate{cert}, RootCAs: pool, ClientCAs: pool,
@@ -103,7 +104,7 @@
 	}, nil
 }
 
-// Serve serves until Close.
+// Serve accepts connections on l until Close.
 func (s *Server) Serve(l net.Listener) error {
 	if s.tls {
 		return s.http.ServeTLS(l, "", "")
@@ -111,7 +112,7 @@
 	return s.http.Serve(l)
 }
 
-// Close stops the server.
+// Close stops the server at once and closes all its connections.
 func (s *Server) Close() error { return s.http.Close() }
 
 func (s *Server) inventory(c echo.Context) error {
@@ -120,29 +121,29 @@
 
 func (s *Server) change(c echo.Context) error {
 	m := &schema.Change{}
-	if err := read(c, m); err != nil {
-		return fail(c, http.StatusBadRequest, err)
+	if err := decode(c, m); err != nil {
+		return replyError(c, http.StatusBadRequest, err)
 	}
 	change, err := wire.Change(m)
 	if err != nil {
-		return fail(c, http.StatusBadRequest, err)
+		return replyError(c, http.StatusBadRequest, err)
 	}
 	if change.ID == "" {
-		return fail(c, http.StatusBadRequest, errors.New("Id is missing"))
+		return replyError(c, http.StatusBadRequest, errors.New("Id is missing"))
 	}
 	change.At = time.Now()
 	ctx, cancel := context.WithTimeout(c.Request().Context(), acceptTimeout)
 	defer cancel()
 	next, err := s.vm.Accept(ctx, change, c.QueryParam("insist") == "true")
 	if err != nil {
-		return s.failChange(c, change, err)
+		return s.replyChangeError(c, change, err)
 	}
 	return reply(c, http.StatusOK, &schema.ApplyReply{Version: next.Version, ChangeId: change.ID})
 }
 
-// failChange says why a change was not accepted: what was wrong with it, or
-// what the others changed while it was made.
-func (s *Server) failChange(c echo.Context, change inventory.Change, err error) error {
+// replyChangeError replies with the reason why a change was not accepted: the faults in
+// it, or the conflicting changes that others made meanwhile.
+func (s *Server) replyChangeError(c echo.Context, change inventory.Change, err error) error {
 	m := &schema.OperatorError{Error: err.Error(), Verdict: verdict.NotRun.String()}
 	var faults *inventory.FaultsError
 	var unserved *UnservedError
@@ -174,7 +175,7 @@
 func (s *Server) explain(c echo.Context) error {
 	client, err := netip.ParseAddr(c.QueryParam("client"))
 	if err != nil {
-		return fail(c, http.StatusBadRequest, errors.Newf("client: %q is no IP address", c.QueryParam("client")))
+		return replyError(c, http.StatusBadRequest, errors.Newf("client: %q is not an IP address", c.QueryParam("client")))
 	}
 	return reply(c, http.StatusOK, s.vm.Explain(time.Now(), client, c.QueryParam("service")))
 }
@@ -182,7 +183,7 @@
 func (s *Server) claims(c echo.Context) error {
 	list, err := s.vm.Claims(c.Request().Context())
 	if err != nil {
-		return fail(c, http.StatusServiceUnavailable, err)
+		return replyError(c, http.StatusServiceUnavailable, err)
 	}
 	m := &schema.ClaimList{}
 	for _, l := range list {
@@ -191,7 +192,7 @@
 	return reply(c, http.StatusOK, m)
 }
 
-// ClaimDump maps a claim for people.
+// ClaimDump returns the form of a claim that operators see.
 func ClaimDump(l platform.Listed) *schema.ClaimDump {
 	return &schema.ClaimDump{
 		Service: l.Key.Service, Caller: l.Key.Caller, Key: l.Key.Idempotency, Attempt: l.Row.Attempt,
@@ -201,22 +202,23 @@
 
 func (s *Server) resolve(c echo.Context) error {
 	m := &schema.ResolveClaim{}
-	if err := read(c, m); err != nil {
-		return fail(c, http.StatusBadRequest, err)
+	if err := decode(c, m); err != nil {
+		return replyError(c, http.StatusBadRequest, err)
 	}
 	key := claim.Key{Service: m.GetService(), Caller: m.GetCaller(), Idempotency: m.GetKey()}
 	err := s.vm.ResolveClaim(c.Request().Context(), time.Now(), key, m.GetRan())
 	switch {
 	case errors.Is(err, platform.ErrNotResolvable):
-		return fail(c, http.StatusConflict, err)
+		return replyError(c, http.StatusConflict, err)
 	case err != nil:
-		return fail(c, http.StatusServiceUnavailable, err)
+		return replyError(c, http.StatusServiceUnavailable, err)
 	}
 	return reply(c, http.StatusOK, m)
 }
 
-func read(c echo.Context, m proto.Message) error {
-	data, err := io.ReadAll(io.LimitReader(c.Request().Body, maxRequest))
+// decode decodes the body of a request.
+func decode(c echo.Context, m proto.Message) error {
+	data, err := io.ReadAll(io.LimitReader(c.Request().Body, maxBody))
 	if err != nil {
 		return err
 	}
@@ -231,6 +233,6 @@
 	return c.Blob(status, echo.MIMEApplicationJSON, append(data, '\n'))
 }
 
-func fail(c echo.Context, status int, err error) error {
+func replyError(c echo.Context, status int, err error) error {
 	return reply(c, status, &schema.OperatorError{Error: err.Error(), Verdict: verdict.NotRun.String()})
 }
--- a/io/operator/tls_test.go
+++ b/io/operator/tls_test.go
@@ -23,7 +23,7 @@
 	"auburnlatch/schema"
 )
 
-// fakeVM has an inventory and nothing else.
+// fakeVM is a VM that has only an inventory.
 type fakeVM struct{ inv *inventory.Inventory }
 
 func (f *fakeVM) Inventory() *inventory.Inventory { return f.inv }
@@ -39,7 +39,8 @@
 func (f *fakeVM) Claims(context.Context) ([]platform.Listed, error)              { return nil, nil }
 func (f *fakeVM) ResolveClaim(context.Context, time.Time, claim.Key, bool) error { return nil }
 
-// authority signs certificates for 127.0.0.1 into a folder.
+// authority is a certificate authority that signs certificates for 127.0.0.1 and writes
+// them to a directory.
 type authority struct {
 	t    *testing.T
 	dir  string
@@ -104,9 +105,9 @@
 	}
 }
 
-// The operators' interface is on a network that others reach, too. Only who has
-// a certificate of the operators' authority may see or change anything.
-func TestOnlyOperatorsWithACertificateGetIn(t *testing.T) {
+// Guards against clients without a certificate of the operators' authority that can use the
+// operators' interface, as others can reach its network too.
+func TestClientCertificateIsRequired(t *testing.T) {
 	own, foreign := newAuthority(t), newAuthority(t)
 	own.sign("vm", own.cert)
 	own.sign("operator", own.cert)
@@ -139,7 +140,7 @@
 		}
 		inv, err := c.Inventory(context.Background())
 		if ok := err == nil && inv.Version == 7; ok != tc.ok {
-			t.Errorf("%s: got in %t (%v), want %t", tc.name, ok, err, tc.ok)
+			t.Errorf("%s: accepted = %t (%v), want %t", tc.name, ok, err, tc.ok)
 		}
 	}
 }
--- a/io/settings/entry.go
+++ b/io/settings/entry.go
@@ -31,7 +31,7 @@
 	StopGrace time.Duration
 	// RetryRatio, RetryWindow and RetryExtra bound the retries of all VMs together:
 	// the ratio of retries to requests within the window, and a number of retries
-	// in addition.
+	// that each service may use in addition.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetryExtra  int
