--- a/cmd/auburnlatch/change.go
+++ b/cmd/auburnlatch/change.go
@@ -17,13 +17,14 @@
 	"auburnlatch/schema"
 )
 
-const waitPoll = 200 * time.Millisecond
+// pollInterval is how often a waiting command polls the VM's status.
+const pollInterval = 200 * time.Millisecond
 
 type checkCmd struct {
 	File string `arg:"" help:"Inventory file."`
 }
 
-// Run checks a file.
+// Run checks an inventory file.
 func (c *checkCmd) Run(a *app) error {
 	inv, err := operator.LoadInventory(c.File)
 	if err != nil {
@@ -41,7 +42,7 @@
 	File string `arg:"" help:"Inventory file."`
 }
 
-// Run prints the steps from the inventory in force to the file's.
+// Run prints the operations that turn the inventory in force into the file's.
 func (c *diffCmd) Run(a *app) error {
 	from, ops, err := a.diff(c.File)
 	if err != nil {
@@ -67,11 +68,11 @@
 	return from, inventory.Diff(from, to), nil
 }
 
-// waitFlags let a command wait for its change to be in force.
+// waitFlags are the flags of the commands that change the inventory.
 type waitFlags struct {
-	Wait    bool          `help:"Wait until it is in force everywhere."`
-	Timeout time.Duration `help:"How long to wait." default:"30s"`
-	Insist  bool          `help:"Make the change though it leaves a service without a target."`
+	Wait    bool          `help:"Wait until the change is in force on all VMs."`
+	Timeout time.Duration `help:"Maximum time to wait." default:"30s"`
+	Insist  bool          `help:"Make the change even if it leaves a service without a target."`
 }
 
 type applyCmd struct {
@@ -79,52 +80,52 @@
 	waitFlags
 }
 
-// Run makes the file the inventory.
+// Run replaces the inventory in force with the file's.
 func (c *applyCmd) Run(a *app) error {
 	from, ops, err := a.diff(c.File)
 	if err != nil {
 		return err
 	}
 	if len(ops) == 0 {
-		a.say("nothing to change at version %d\n", from.Version)
-		return a.sayJSON(&schema.ApplyReply{Version: from.Version})
+		a.printText("nothing to change at version %d\n", from.Version)
+		return a.printReply(&schema.ApplyReply{Version: from.Version})
 	}
 	return a.change(from.Version, ops, c.waitFlags)
 }
 
-// change sends a change and waits for it where asked to.
+// change sends a change and, with --wait, waits until it is in force.
 func (a *app) change(based uint64, ops []inventory.Op, w waitFlags) error {
 	change := inventory.Change{ID: newID(), Based: based, Author: author(), Ops: ops}
 	version, err := a.client.Apply(a.ctx, change, w.Insist)
 	if err != nil {
 		return err
 	}
-	a.say("accepted as version %d, %d steps\n", version, len(ops))
+	a.printText("accepted as version %d, %d steps\n", version, len(ops))
 	if w.Wait {
 		if err := a.wait(version, w.Timeout); err != nil {
 			return err
 		}
 	}
-	return a.sayJSON(&schema.ApplyReply{Version: version, ChangeId: change.ID})
+	return a.printReply(&schema.ApplyReply{Version: version, ChangeId: change.ID})
 }
 
-// say prints a line for people, unless scripts listen.
-func (a *app) say(format string, args ...any) {
+// printText prints text for people, unless --json is set.
+func (a *app) printText(format string, args ...any) {
 	if !a.json {
 		fmt.Printf(format, args...)
 	}
 }
 
-// sayJSON prints a message for scripts, if they listen.
-func (a *app) sayJSON(m proto.Message) error {
+// printReply prints a message for scripts if --json is set.
+func (a *app) printReply(m proto.Message) error {
 	if !a.json {
 		return nil
 	}
 	return printJSON(m)
 }
 
-// wait returns when every zone reports the version in force on all of its VMs,
-// and prints where it is not as that changes.
+// wait returns when the version is in force on all VMs of every zone. Meanwhile it
+// prints the zones where it is not, whenever these change.
 func (a *app) wait(version uint64, timeout time.Duration) error {
 	started := time.Now()
 	last := ""
@@ -133,68 +134,68 @@
 		if err != nil {
 			return err
 		}
-		behind, blind := behind(st, version)
-		if len(behind)+len(blind) == 0 {
-			a.say("version %d is in force on all VMs of %d zones after %v\n", version, len(st.GetZones()), time.Since(started).Round(time.Millisecond))
+		behind, unseen := zonesBehind(st, version)
+		if len(behind)+len(unseen) == 0 {
+			a.printText("version %d is in force on all VMs of %d zones after %v\n", version, len(st.GetZones()), time.Since(started).Round(time.Millisecond))
 			return nil
 		}
-		line := fmt.Sprintf("waiting: behind %v, not seen %v\n", behind, blind)
+		line := fmt.Sprintf("waiting: behind %v, not seen %v\n", behind, unseen)
 		if line != last {
-			a.say("%s", line)
+			a.printText("%s", line)
 			last = line
 		}
 		if time.Since(started) > timeout {
-			return errWaiting
+			return errWaitTimeout
 		}
 		select {
 		case <-a.ctx.Done():
-			return errWaiting
-		case <-time.After(waitPoll):
+			return errWaitTimeout
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// maxSeen is the age of a zone's summary up to which the zone counts as seen.
-const maxSeen = 10 * time.Second
+// maxSummaryAge is the age of a zone's summary from which on the zone counts as unseen.
+const maxSummaryAge = 10 * time.Second
 
-// behind returns the zones with VMs at a lower version, and those of which
-// nothing is known now.
-func behind(st *schema.Status, version uint64) (behind, blind []string) {
+// zonesBehind returns the zones with VMs at a lower version, and the zones without a
+// recent summary or without VMs.
+func zonesBehind(st *schema.Status, version uint64) (behind, unseen []string) {
 	for _, z := range st.GetZones() {
 		switch {
-		case z.GetVmCount() == 0 || z.GetAge().AsDuration() > maxSeen:
-			blind = append(blind, z.GetZone())
+		case z.GetVmCount() == 0 || z.GetAge().AsDuration() > maxSummaryAge:
+			unseen = append(unseen, z.GetZone())
 		case z.GetMinVersion() < version:
 			behind = append(behind, z.GetZone())
 		}
 	}
-	return behind, blind
+	return behind, unseen
 }
 
 type drainCmd struct {
-	Kind string `arg:"" help:"target, zone or region." enum:"target,zone,region"`
-	Name string `arg:"" help:"Its name."`
+	Kind string `arg:"" help:"Kind of item: target, zone or region." enum:"target,zone,region"`
+	Name string `arg:"" help:"Name of the item."`
 	waitFlags
 }
 
-// Run drains.
+// Run drains a target, zone or region.
 func (c *drainCmd) Run(a *app) error {
-	return a.changeNow(inventory.Op{Drain: &inventory.Drain{Kind: kindOf(c.Kind), Name: c.Name}}, c.waitFlags)
+	return a.changeNow(inventory.Op{Drain: &inventory.Drain{Kind: parseKind(c.Kind), Name: c.Name}}, c.waitFlags)
 }
 
 type undrainCmd struct {
-	Kind string `arg:"" help:"target, zone or region." enum:"target,zone,region"`
-	Name string `arg:"" help:"Its name."`
+	Kind string `arg:"" help:"Kind of item: target, zone or region." enum:"target,zone,region"`
+	Name string `arg:"" help:"Name of the item."`
 	waitFlags
 }
 
-// Run takes a drain back.
+// Run removes a drain.
 func (c *undrainCmd) Run(a *app) error {
-	name := string(kindOf(c.Kind)) + "/" + c.Name
+	name := string(parseKind(c.Kind)) + "/" + c.Name
 	return a.changeNow(inventory.Op{Remove: &inventory.Remove{Kind: inventory.KindDrain, Name: name}}, c.waitFlags)
 }
 
-// changeNow changes one item of the version that is in force.
+// changeNow makes a change of one operation to the version in force.
 func (a *app) changeNow(op inventory.Op, w waitFlags) error {
 	inv, err := a.client.Inventory(a.ctx)
 	if err != nil {
@@ -203,7 +204,7 @@
 	return a.change(inv.Version, []inventory.Op{op}, w)
 }
 
-func kindOf(word string) inventory.Kind {
+func parseKind(word string) inventory.Kind {
 	switch word {
 	case "zone":
 		return inventory.KindZone
--- a/cmd/auburnlatch/logs.go
+++ b/cmd/auburnlatch/logs.go
@@ -13,13 +13,13 @@
 	"auburnlatch/io/logline"
 )
 
-// traceCmd shows what saved logs of any number of VMs say about one request.
+// traceCmd shows the lines about one request in saved logs of any number of VMs.
 type traceCmd struct {
-	ID    string   `arg:"" help:"A request's ID, or that of an upstream's incarnation."`
-	Files []string `arg:"" optional:"" help:"Saved logs; none: standard input." type:"existingfile"`
+	ID    string   `arg:"" help:"ID of a request or of an upstream's incarnation."`
+	Files []string `arg:"" optional:"" help:"Saved logs. Without files, standard input is read." type:"existingfile"`
 }
 
-// Run prints the lines in order of time.
+// Run prints the lines in the order of their times.
 func (c *traceCmd) Run(a *app) error {
 	lines, err := readLogs(c.Files)
 	if err != nil {
@@ -27,7 +27,7 @@
 	}
 	found := logline.Trace(lines, c.ID)
 	if len(found) == 0 {
-		return errors.Newf("no line names %q: its VM's log may not be here, or the line was dropped (see LinesDropped)", c.ID)
+		return errors.Newf("no line contains %q: the log of its VM may be missing, or the line was dropped (see LinesDropped)", c.ID)
 	}
 	if a.json {
 		return json.NewEncoder(os.Stdout).Encode(found)
@@ -38,16 +38,16 @@
 	return nil
 }
 
-// logsCmd has the commands on saved logs.
+// logsCmd groups the commands that analyze saved logs.
 type logsCmd struct {
-	Summary summaryCmd `cmd:"" help:"Count what went wrong, by event, reason, service and zone."`
-	Causes  causesCmd  `cmd:"" help:"Say why requests were not answered in time, one cause each."`
+	Summary summaryCmd `cmd:"" help:"Count problems by event, reason, service and zone."`
+	Causes  causesCmd  `cmd:"" help:"Count requests that were not answered in time, by cause."`
 }
 
-// causesCmd gives each request that was late or given up on one cause.
+// causesCmd assigns one cause to each request that was late or failed.
 type causesCmd struct {
-	Files []string      `arg:"" optional:"" help:"Saved logs of all VMs; none: standard input." type:"existingfile"`
-	Every time.Duration `help:"Count by spans of this length." default:"0s"`
+	Files []string      `arg:"" optional:"" help:"Saved logs of all VMs. Without files, standard input is read." type:"existingfile"`
+	Every time.Duration `help:"Count each period of this length separately; 0 for one count." default:"0s"`
 }
 
 // Run prints the counts, the highest first.
@@ -67,15 +67,15 @@
 		if !n.From.IsZero() {
 			from = n.From.Format(time.TimeOnly)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\n", from, dash(n.Route), n.Cause, dash(n.Reason), n.N, n.Asked)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\n", from, orDash(n.Route), n.Cause, orDash(n.Reason), n.N, n.Asked)
 	}
 	return w.Flush()
 }
 
-// summaryCmd counts what went wrong.
+// summaryCmd counts the problems in saved logs.
 type summaryCmd struct {
-	Files []string `arg:"" optional:"" help:"Saved logs; none: standard input." type:"existingfile"`
-	ByVM  bool     `help:"Count each VM apart." name:"by-vm"`
+	Files []string `arg:"" optional:"" help:"Saved logs. Without files, standard input is read." type:"existingfile"`
+	ByVM  bool     `help:"Count each VM separately." name:"by-vm"`
 }
 
 // Run prints the counts, the highest first.
@@ -91,12 +91,13 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "COUNT\tEVENT\tREASON\tSERVICE\tTARGET ZONE\tVM")
 	for _, n := range counts {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\n", n.N, n.Event, dash(n.Reason), dash(n.Service), dash(n.TargetZone), dash(n.VM))
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\n", n.N, n.Event, orDash(n.Reason), orDash(n.Service), orDash(n.TargetZone), orDash(n.VM))
 	}
 	return w.Flush()
 }
 
-func dash(s string) string {
+// orDash returns s, or - if it is empty.
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
--- a/cmd/auburnlatch/show.go
+++ b/cmd/auburnlatch/show.go
@@ -31,7 +31,7 @@
 
 type getCmd struct {
 	Kind string `arg:"" optional:"" help:"Region, Zone, Service, Target, Place, Link or Drain."`
-	Name string `arg:"" optional:"" help:"Name of one item."`
+	Name string `arg:"" optional:"" help:"Name of one item of the kind."`
 }
 
 // Run prints the inventory, or the items of a kind.
@@ -54,7 +54,7 @@
 		}
 	}
 	if part.Version == inv.Version {
-		return errors.Newf("there is no %s %s", c.Kind, c.Name)
+		return errors.Newf("the inventory contains no %s %s", c.Kind, c.Name)
 	}
 	part.Version = inv.Version
 	return printJSON(wire.FromInventory(part))
@@ -95,11 +95,11 @@
 func age(d time.Duration) string { return d.Round(time.Millisecond).String() }
 
 type explainCmd struct {
-	Client  string `arg:"" help:"The caller's IP address."`
-	Service string `arg:"" help:"The service."`
+	Client  string `arg:"" help:"IP address of the caller."`
+	Service string `arg:"" help:"Name of the service."`
 }
 
-// Run prints why a caller gets what it gets.
+// Run prints why a caller gets its VMs and upstreams.
 func (c *explainCmd) Run(a *app) error {
 	e, err := a.client.Explain(a.ctx, c.Client, c.Service)
 	if err != nil {
@@ -150,12 +150,12 @@
 
 type claimCmd struct {
 	List    claimListCmd    `cmd:"" help:"List the claims that are not settled."`
-	Resolve claimResolveCmd `cmd:"" help:"Settle a claim whose holder cannot."`
+	Resolve claimResolveCmd `cmd:"" help:"Settle a claim that the VM holding it cannot settle."`
 }
 
 type claimListCmd struct{}
 
-// Run lists the claims.
+// Run prints the claims that are not settled.
 func (c *claimListCmd) Run(a *app) error {
 	list, err := a.client.Claims(a.ctx)
 	if err != nil {
@@ -175,10 +175,10 @@
 
 type claimResolveCmd struct {
 	Service string `arg:"" help:"The service."`
-	Caller  string `arg:"" help:"The caller, as listed."`
-	Key     string `arg:"" help:"The Idempotency-Key."`
-	Ran     bool   `help:"The operation ran: it will not run again." xor:"outcome" required:""`
-	NotRun  bool   `help:"The operation did not run: the caller may try again." xor:"outcome" required:""`
+	Caller  string `arg:"" help:"The caller, as shown by claim list."`
+	Key     string `arg:"" help:"The request's Idempotency-Key."`
+	Ran     bool   `help:"The operation ran. It will not run again." xor:"outcome" required:""`
+	NotRun  bool   `help:"The operation did not run. The caller may retry it." xor:"outcome" required:""`
 }
 
 // Run settles a claim.
