--- a/cmd/auburnlatch-entry/main.go
+++ b/cmd/auburnlatch-entry/main.go
@@ -1,12 +1,12 @@
-// Command auburnlatch-entry is the daemon of an entry VM on the users' platform.
+// Command auburnlatch-entry is the daemon that runs on every entry VM of the users' platform.
 //
 // Usage:
 //
 //	auburnlatch-entry [--settings entry.jsonc] [--check] [--debug]
 //
-// Without --settings the file is the one that the platform names. On SIGHUP,
-// and when the file has changed, it takes new bounds into use; addresses stay.
-// On SIGTERM or SIGINT it leaves gracefully.
+// Without --settings it reads the file named by the platform's environment variable. On
+// SIGHUP, and when the file has changed, it applies the new bounds; addresses do not change.
+// On SIGTERM or SIGINT it shuts down gracefully.
 package main
 
 import (
@@ -33,28 +33,28 @@
 
 type flags struct {
 	Settings string `help:"Settings file: JSON with comments." type:"path"`
-	Check    bool   `help:"Only check the settings."`
-	Debug    bool   `help:"Log single exchanges too."`
+	Check    bool   `help:"Only check the settings, then exit."`
+	Debug    bool   `help:"Also log each failed exchange with a peer or the platform."`
 }
 
 const (
-	// gcPercent is how much the heap may grow before garbage is collected, and
-	// memoryLimit, in bytes, what it may not exceed for long: the smallest VMs have
-	// little over that.
+	// gcPercent is how much the heap may grow before garbage is collected, as GOGC.
+	// memoryLimit is the soft memory limit in bytes, as GOMEMLIMIT: the smallest VMs
+	// have little more memory than that.
 	gcPercent   = 100
 	memoryLimit = 128 << 20
-	// rereadEvery is how often the settings file is looked at: it may change
-	// without a signal.
-	rereadEvery = 5 * time.Second
+	// pollInterval is how often the settings file is read, as it may change without a
+	// signal.
+	pollInterval = 5 * time.Second
 )
 
-// Run runs the daemon, or checks its settings.
+// Run runs the daemon, or only checks its settings.
 func (f *flags) Run() error {
 	if f.Settings == "" {
 		f.Settings = os.Getenv(platform.SettingsFile)
 	}
 	if f.Settings == "" {
-		return errors.Newf("no settings: pass --settings FILE or set %s", platform.SettingsFile)
+		return errors.Newf("no settings file given: pass --settings FILE or set %s", platform.SettingsFile)
 	}
 	data, err := os.ReadFile(f.Settings)
 	if err != nil {
@@ -89,23 +89,23 @@
 	return h
 }
 
-// reloader takes changed settings into use.
+// reloader applies the settings file when it changes.
 type reloader struct {
 	path string
 	vm   configurer
 	log  *logrus.Entry
-	last []byte // The file as the VM has it.
+	last []byte // The contents when it was last read.
 }
 
-// configurer takes settings into use.
+// configurer applies settings.
 type configurer interface{ Configure(*settings.Entry) }
 
-// run rereads the file on SIGHUP and now and then.
+// run reads the file on SIGHUP and every pollInterval.
 func (r *reloader) run(ctx context.Context) {
-	t := time.NewTicker(rereadEvery)
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
-		r.reread()
+		r.reload()
 		select {
 		case <-ctx.Done():
 			return
@@ -115,9 +115,9 @@
 	}
 }
 
-// reread takes the file into use if it has changed and is good. A bad file
-// leaves the settings as they are.
-func (r *reloader) reread() {
+// reload applies the settings file if it has changed and is valid. If it is invalid, the
+// settings remain as they are.
+func (r *reloader) reload() {
 	data, err := os.ReadFile(r.path)
 	if err != nil {
 		r.log.WithField("Err", err).Warn("SettingsNotRead")
--- a/cmd/auburnlatch-entry/main_test.go
+++ b/cmd/auburnlatch-entry/main_test.go
@@ -11,26 +11,26 @@
 	"auburnlatch/io/settings"
 )
 
-// configured counts the settings that were taken into use.
-type configured int
+// configureCount counts calls of Configure.
+type configureCount int
 
 // Configure implements configurer.
-func (c *configured) Configure(*settings.Entry) { *c++ }
+func (c *configureCount) Configure(*settings.Entry) { *c++ }
 
-const good = `{"Name":"a","Zone":"z","Region":"r","Regions":{"z":"r"},"FrontAddr":"127.0.0.1:1","ReadyAddr":"127.0.0.1:2",
+const validSettings = `{"Name":"a","Zone":"z","Region":"r","Regions":{"z":"r"},"FrontAddr":"127.0.0.1:1","ReadyAddr":"127.0.0.1:2",
 "DirectoryAddr":"127.0.0.1:3","PeerAddr":"127.0.0.1:4","Platform":{"Addr":"127.0.0.1:5"},
 "Bounds":{"StopGrace":"3s","RetryRatio":0.2,"RetryWindow":"10s","RetryExtra":5,"Heartbeat":"500ms","LeaveWithin":"2.5s"}}`
 
-// Guards against settings that change while the VM starts and are never taken into use.
-func TestReread(t *testing.T) {
+// Guards against settings that change while the VM starts and are never applied.
+func TestReload(t *testing.T) {
 	for _, tt := range []struct {
 		name, file string
-		want       configured
+		want       configureCount
 	}{
-		{"unchanged since the start", good, 0},
-		{"changed while the VM started", good + "\n", 1},
-		{"changed to what is no settings", "{", 0},
-		{"gone", "", 0},
+		{"unchanged since the start", validSettings, 0},
+		{"changed while the VM started", validSettings + "\n", 1},
+		{"invalid", "{", 0},
+		{"deleted", "", 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "entry.jsonc")
@@ -41,12 +41,12 @@
 			}
 			log := logrus.New()
 			log.SetOutput(io.Discard)
-			var got configured
-			r := &reloader{path: path, vm: &got, log: logrus.NewEntry(log), last: []byte(good)}
-			r.reread()
-			r.reread()
+			var got configureCount
+			r := &reloader{path: path, vm: &got, log: logrus.NewEntry(log), last: []byte(validSettings)}
+			r.reload()
+			r.reload()
 			if got != tt.want {
-				t.Errorf("settings taken into use %d times, want %d", got, tt.want)
+				t.Errorf("settings applied %d times, want %d", got, tt.want)
 			}
 		})
 	}
--- a/cmd/auburnlatchd/main.go
+++ b/cmd/auburnlatchd/main.go
@@ -4,8 +4,9 @@
 //
 //	auburnlatchd --settings vm.jsonc [--check]
 //
-// On SIGTERM or SIGINT it leaves gracefully: it cuts off no request in flight. On SIGHUP it
-// checks its settings file and logs what it finds; settings are in force from a start on.
+// On SIGTERM or SIGINT it shuts down gracefully: it completes the requests in flight. On
+// SIGHUP it checks its settings file and logs the result; changed settings take effect at the
+// next start.
 package main
 
 import (
@@ -25,18 +26,18 @@
 
 type flags struct {
 	Settings string `help:"Settings file: JSON with comments." required:"" type:"path"`
-	Check    bool   `help:"Only check the settings."`
-	Debug    bool   `help:"Log single exchanges too."`
+	Check    bool   `help:"Only check the settings, then exit."`
+	Debug    bool   `help:"Also log each failed exchange with a peer or the platform."`
 }
 
-// The garbage collector runs seldom while the heap is small, and as often as it
-// must when the memory nears what a VM may use.
+// The garbage collector runs rarely while the heap is small, and as often as needed
+// when memory use approaches what a VM may use.
 const (
-	gcPercent   = 400
-	memoryLimit = 192 << 20
+	gcPercent   = 400       // As GOGC.
+	memoryLimit = 192 << 20 // As GOMEMLIMIT, in bytes.
 )
 
-// Run runs the VM, or checks its settings.
+// Run runs the VM, or only checks its settings.
 func (f *flags) Run() error {
 	cfg, err := settings.Load(f.Settings)
 	if err != nil {
@@ -59,18 +60,18 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	go (&checker{path: f.Settings, log: log.WithField("VM", cfg.Name)}).run(ctx)
+	go (&settingsChecker{path: f.Settings, log: log.WithField("VM", cfg.Name)}).run(ctx)
 	return v.Run(ctx)
 }
 
-// checker checks the settings file for operators.
-type checker struct {
+// settingsChecker checks the settings file on request and logs the result for operators.
+type settingsChecker struct {
 	path string
 	log  *logrus.Entry
 }
 
 // run checks the file on each SIGHUP.
-func (c *checker) run(ctx context.Context) {
+func (c *settingsChecker) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -81,7 +82,7 @@
 	}
 }
 
-func (c *checker) check() {
+func (c *settingsChecker) check() {
 	if _, err := settings.Load(c.path); err != nil {
 		c.log.WithField("Err", err).Error("SettingsRefused")
 		return
--- a/cmd/auburnlatchd/main_test.go
+++ b/cmd/auburnlatchd/main_test.go
@@ -15,7 +15,7 @@
 	"auburnlatch/standin/freeport"
 )
 
-// daemonEnv has the test binary be the daemon.
+// daemonEnv is the environment variable that makes the test binary run the daemon.
 const daemonEnv = "AUBURNLATCHD_TEST_DAEMON"
 
 func TestMain(m *testing.M) {
@@ -25,23 +25,23 @@
 	main()
 }
 
-// Guards against a daemon that SIGHUP ends, and with it all requests in flight.
-func TestHangupDoesNotEndTheDaemon(t *testing.T) {
+// Guards against a daemon that SIGHUP terminates, which would cut all requests in flight.
+func TestHangupDoesNotTerminateTheDaemon(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "vm.jsonc")
-	text := `{"Name":"a","Zone":"z","Platform":{"Url":"http://127.0.0.1:1"}`
+	config := `{"Name":"a","Zone":"z","Platform":{"Url":"http://127.0.0.1:1"}`
 	for _, field := range []string{"CallerAddr", "ForwardAddr", "PeerAddr", "OperatorAddr"} {
 		addr, err := freeport.Addr()
 		if err != nil {
 			t.Fatal(err)
 		}
-		text += fmt.Sprintf(`,%q:%q`, field, addr)
+		config += fmt.Sprintf(`,%q:%q`, field, addr)
 	}
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	write(text + "}")
+	write(config + "}")
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, os.Args[0], "--settings", path)
@@ -54,14 +54,14 @@
 		t.Fatal(err)
 	}
 	lines := bufio.NewScanner(out)
-	says := func(what string) {
+	waitForLine := func(text string) {
 		t.Helper()
 		for lines.Scan() {
-			if strings.Contains(lines.Text(), what) {
+			if strings.Contains(lines.Text(), text) {
 				return
 			}
 		}
-		t.Fatalf("the daemon ended before it said %s", what)
+		t.Fatalf("the daemon exited before it logged %s", text)
 	}
 	signal := func(s os.Signal) {
 		t.Helper()
@@ -69,12 +69,12 @@
 			t.Fatal(err)
 		}
 	}
-	says("VMStarted")
+	waitForLine("VMStarted")
 	signal(syscall.SIGHUP)
-	says("SettingsGoodForNextStart")
+	waitForLine("SettingsGoodForNextStart")
 	write("{")
 	signal(syscall.SIGHUP)
-	says("SettingsRefused")
+	waitForLine("SettingsRefused")
 	signal(syscall.SIGTERM)
 	for lines.Scan() {
 	}
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,13 +1,12 @@
-// Command standin is a small stand-in for the systems around auburnlatch: the
-// platform, and upstreams. It is for tests, the demo and trying things out; it
-// keeps everything in memory.
+// Command standin simulates the systems around auburnlatch, the platform and
+// upstreams, for tests, demos and experiments. It keeps all state in memory.
 //
 // Usage:
 //
 //	standin platform --addr 127.0.0.1:7400
 //	standin upstreams ist-01=4@127.0.0.1:7501 ist-02=3@127.0.0.1:7502
 //
-// The paths under /standin/ switch faults and give the counts; see
+// The paths under /standin/ inject faults and return counts; see
 // schema/platform.proto and schema/standin.proto.
 package main
 
@@ -36,7 +35,7 @@
 func (c *platformCmd) Run() error { return serve(c.Addr, "platform", platform.New()) }
 
 type upstreamsCmd struct {
-	Upstreams []string `arg:"" help:"Upstreams as name=slots@IP:port."`
+	Upstreams []string `arg:"" help:"Upstreams, each as name=slots@IP:port."`
 }
 
 // Run serves all upstreams until the process ends.
@@ -53,7 +52,7 @@
 	return <-failed
 }
 
-// standinUpstream is one upstream of several in the process.
+// standinUpstream is one of the upstreams in the process.
 type standinUpstream struct {
 	name, addr string
 	slots      int
@@ -63,12 +62,13 @@
 // run serves the upstream until it fails.
 func (u *standinUpstream) run() { u.failed <- serve(u.addr, u.name, upstream.New(u.name, u.slots)) }
 
+// parseUpstream parses name=slots@IP:port.
 func parseUpstream(s string) (name string, slots int, addr string, err error) {
 	name, rest, ok := strings.Cut(s, "=")
 	count, addr, ok2 := strings.Cut(rest, "@")
 	slots, err = strconv.Atoi(count)
 	if !ok || !ok2 || err != nil || slots < 1 {
-		return "", 0, "", errors.Newf("%q is not name=slots@IP:port", s)
+		return "", 0, "", errors.Newf("%q is not of the form name=slots@IP:port", s)
 	}
 	return name, slots, addr, nil
 }
@@ -85,9 +85,9 @@
 
 func main() {
 	var cli struct {
-		Platform  platformCmd  `cmd:"" help:"Run the stand-in platform."`
-		Upstreams upstreamsCmd `cmd:"" help:"Run stand-in upstreams."`
+		Platform  platformCmd  `cmd:"" help:"Run the simulated platform."`
+		Upstreams upstreamsCmd `cmd:"" help:"Run simulated upstreams."`
 	}
-	ctx := kong.Parse(&cli, kong.Name("standin"), kong.Description("Stand-ins for the platform and for upstreams."))
+	ctx := kong.Parse(&cli, kong.Name("standin"), kong.Description("Simulates the platform and upstreams for tests and demos."))
 	ctx.FatalIfErrorf(ctx.Run())
 }
