--- a/io/upstream/call.go
+++ b/io/upstream/call.go
@@ -8,39 +8,41 @@
 	"time"
 )
 
-// Call is one request as it goes out on a connection.
+// Call is one request to an upstream, as it is written to a connection.
 type Call struct {
-	// Target is the incarnation; connections are kept by it, so that one to an
-	// upstream that is gone is never used for whoever has its address now.
+	// Target names the upstream's incarnation. Idle connections are kept per
+	// incarnation, so that a connection to a stopped upstream is never used for
+	// another one that now has its address.
 	Target string
 	Addr   string
 
 	Method string
-	// URI is the path and query as the caller wrote them.
+	// URI is the path and query as the caller sent them.
 	URI    string
 	Host   string
 	Header http.Header
-	// Body is the request's body, or its beginning where Rest has more.
+	// Body is the request's body, or its first part if Rest is set.
 	Body []byte
-	// Rest is read after Body; nil: Body is all there is.
+	// Rest is the part of the body after Body; nil if Body is complete.
 	Rest io.Reader
-	// Length of the whole body in bytes; -1: not known, sent in chunks.
+	// Length is the size of the whole body in bytes; -1 if it is unknown, in
+	// which case the body is sent chunked.
 	Length int64
 
-	// Admit is asked right before the request is written; false keeps it from being sent.
-	// nil: nothing is asked.
+	// Admit is called right before the request is written. The request is not sent if it
+	// returns false. A nil Admit admits every request.
 	Admit func(now time.Time) bool
 
-	// EchoHeader is the field in which the upstream repeats EchoID; empty: it
-	// repeats nothing.
+	// EchoHeader is the header field in which the upstream returns EchoID with
+	// its response; empty if it returns no ID.
 	EchoHeader, EchoID string
 
-	// Connect is set to the time it took to open a connection, 0 where a kept
-	// one was used.
+	// Connect is set to the time it took to open a connection, or 0 if an idle
+	// one was reused.
 	Connect time.Duration
 }
 
-// head returns the request line and the header fields.
+// head returns the request line and the header, with the final empty line.
 func (c *Call) head() []byte {
 	var b bytes.Buffer
 	b.WriteString(c.Method)
@@ -67,20 +69,21 @@
 	return b.Bytes()
 }
 
-// hasBody reports whether a request of that method usually has a body, so that
-// an empty one is announced.
+// hasBody reports whether requests with this method usually have a body, so that
+// an empty one is sent with a Content-Length of 0.
 func hasBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// whole reports whether the body is all in memory.
-func (c *Call) whole() bool { return c.Rest == nil }
+// buffered reports whether the whole body is in memory.
+func (c *Call) buffered() bool { return c.Rest == nil }
 
-// writeTo writes the request and returns how many bytes went out. It reports
-// an error of the caller's body apart from one of the connection only by n.
+// writeTo writes the request and returns the number of bytes written. A read
+// error of the caller's body and a write error of the connection can be told
+// apart only by n.
 func (c *Call) writeTo(w io.Writer) (n int64, err error) {
 	head := c.head()
-	if c.whole() {
+	if c.buffered() {
 		m, err := w.Write(append(head, c.Body...))
 		return int64(m), err
 	}
--- a/io/upstream/client.go
+++ b/io/upstream/client.go
@@ -15,15 +15,16 @@
 	"auburnlatch/core/verdict"
 )
 
-// Bounds of the client.
+// Limits of the client.
 const (
-	dialTimeout     = 2 * time.Second
-	continueTimeout = time.Second
-	idleTimeout     = 90 * time.Second
-	idlePerUpstream = 64
-	retryShed       = time.Second
-	// maxRefusalBody is how much of a refusal is read to keep its connection.
-	maxRefusalBody = 4 << 10
+	dialTimeout       = 2 * time.Second
+	continueTimeout   = time.Second
+	idleTimeout       = 90 * time.Second
+	idlePerUpstream   = 64
+	defaultRetryAfter = time.Second
+	// maxShedBody is how many bytes of a shed response's body are read so that
+	// its connection can be reused.
+	maxShedBody = 4 << 10
 )
 
 // Client sends requests to upstreams. It is safe for concurrent use.
@@ -35,15 +36,15 @@
 // Dial opens a connection, as net.Dialer.DialContext does.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Option varies a Client.
+// Option configures a Client or a Pool.
 type Option func(*options)
 
 type options struct{ dial Dial }
 
-// WithDial has the client open its connections by dial.
+// WithDial sets the function that opens connections.
 func WithDial(dial Dial) Option { return func(o *options) { o.dial = dial } }
 
-// NewClient returns a client with connections of its own.
+// NewClient returns a client with its own connection pool.
 func NewClient(opts ...Option) *Client {
 	o := &options{dial: (&net.Dialer{Timeout: dialTimeout}).DialContext}
 	for _, opt := range opts {
@@ -62,51 +63,55 @@
 	}}
 }
 
-// Listens finds out whether somebody takes connections at an address, by one that is
-// closed again soon.
+// Listens checks whether a process accepts connections at an address. It opens one and
+// closes it shortly afterwards.
 func (c *Client) Listens(ctx context.Context, addr string, within time.Duration) Listening {
-	return listens(ctx, c.dial, addr, within)
+	return checkListening(ctx, c.dial, addr, within)
 }
 
-// CloseIdle closes connections that are not in use.
+// CloseIdle closes idle connections.
 func (c *Client) CloseIdle() { c.transport.CloseIdleConnections() }
 
-// Send sends one request to the target and returns its answer, whose body the
-// caller closes. A status in shed is the target's word that it ran nothing.
+// Send sends one request to the target and returns its response, whose body the
+// caller closes. With a status in shed the target states that it did not run
+// the request.
 func (c *Client) Send(ctx context.Context, t *inventory.Target, shed []int, req *http.Request) (*http.Response, error) {
 	resp, err := c.RoundTrip(ctx, t.Addr, req)
 	if err != nil {
 		return nil, err
 	}
 	if slices.Contains(shed, resp.StatusCode) {
-		_, _ = io.CopyN(io.Discard, resp.Body, maxRefusalBody)
+		_, _ = io.CopyN(io.Discard, resp.Body, maxShedBody)
 		resp.Body.Close()
 		pause := RetryAfter(resp.Header)
-		return nil, verdict.Wrap(&ShedError{pause}, verdict.NotRun, verdict.ReasonShed, max(retryShed, pause))
+		return nil, verdict.Wrap(&ShedError{pause}, verdict.NotRun, verdict.ReasonShed, max(defaultRetryAfter, pause))
 	}
 	return resp, nil
 }
 
-// ShedError is the cause of a refusal by an upstream.
+// ShedError reports that an upstream shed a request.
 type ShedError struct {
-	// Pause is for how long the upstream wants nothing; 0: it does not say.
+	// RetryAfter is how long the upstream asks not to be sent requests; 0 if
+	// it names no time.
 	Pause time.Duration
 }
 
 // Error implements error.
-func (e *ShedError) Error() string { return "shed, pause " + e.Pause.String() }
+func (e *ShedError) Error() string {
+	return "upstream shed the request, retry after " + e.Pause.String()
+}
 
-// RoundTrip sends one request to an address, once, and returns its answer.
+// RoundTrip sends one request to an address, exactly once, and returns the response.
 func (c *Client) RoundTrip(ctx context.Context, addr string, req *http.Request) (*http.Response, error) {
-	var sent sentWatch
+	var sent writeTracker
 	out := req.WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: sent.gotConn}))
 	to := *req.URL
 	to.Scheme, to.Host = "http", addr
 	out.URL = &to
 	out.RequestURI = ""
 	out.Body, out.GetBody = req.Body, nil
-	if !harmless(req) {
-		out.Body = once(req.Body)
+	if !mayRepeat(req) {
+		out.Body = singleUseBody(req.Body)
 	}
 	resp, err := c.transport.RoundTrip(out)
 	if err != nil {
@@ -115,19 +120,19 @@
 	return resp, nil
 }
 
-// harmless reports whether the transport may repeat a request by itself.
-func harmless(req *http.Request) bool {
+// mayRepeat reports whether the transport may repeat a request on its own.
+func mayRepeat(req *http.Request) bool {
 	bodyless := req.Body == nil || req.Body == http.NoBody
 	return bodyless && (req.Method == http.MethodGet || req.Method == http.MethodHead)
 }
 
-// once returns a body that the transport cannot take for one it may send
-// again. net/http repeats a request on a fresh connection if a reused one
-// breaks, also after the request was written, when the method is idempotent
-// or an Idempotency-Key is there and the body is absent or can be made anew. A
-// caller would see one booking and the depot two. A body that is present and
-// cannot be made anew rules it out.
-func once(body io.ReadCloser) io.ReadCloser {
+// singleUseBody wraps a body so that the transport does not send the request
+// again. net/http repeats a request on a new connection if a reused one breaks,
+// even after the request was written, if the method is idempotent or the
+// request has an Idempotency-Key, and the body is absent or can be recreated.
+// The upstream could then run a request twice for one response. A body that is
+// present and cannot be recreated prevents that.
+func singleUseBody(body io.ReadCloser) io.ReadCloser {
 	if body == nil {
 		body = http.NoBody
 	}
@@ -136,42 +141,42 @@
 
 type singleUse struct{ io.ReadCloser }
 
-// countingConn notes whether anything was written to a connection.
+// countingConn counts the writes to a connection.
 type countingConn struct {
 	net.Conn
 	writes atomic.Int64
 }
 
-// Write implements net.Conn. It counts before it writes, since a write that
-// fails may have sent a part.
+// Write implements net.Conn. It counts before it writes, since a failed write
+// may have sent part of the data.
 func (c *countingConn) Write(p []byte) (int, error) {
 	c.writes.Add(1)
 	return c.Conn.Write(p)
 }
 
-// sentWatch tells whether a request may have left: whether its connection was
-// written to since the request got it.
-type sentWatch struct {
+// writeTracker tracks whether any byte of a request may have been sent, that is,
+// whether its connection was written to after the request got it.
+type writeTracker struct {
 	mu    sync.Mutex
-	conns []watched
+	conns []trackedConn
 }
 
-type watched struct {
+type trackedConn struct {
 	conn   *countingConn
 	before int64
 }
 
-func (s *sentWatch) gotConn(info httptrace.GotConnInfo) {
+func (s *writeTracker) gotConn(info httptrace.GotConnInfo) {
 	conn, ok := info.Conn.(*countingConn)
 	if !ok {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.conns = append(s.conns, watched{conn, conn.writes.Load()})
+	s.conns = append(s.conns, trackedConn{conn, conn.writes.Load()})
 }
 
-func (s *sentWatch) mayHaveLeft() bool {
+func (s *writeTracker) wroteAny() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, w := range s.conns {
@@ -182,14 +187,14 @@
 	return false
 }
 
-// verdict judges a request that brought no answer.
-func (s *sentWatch) verdict(ctx context.Context, err error) *verdict.Error {
+// verdict returns the error of a request that got no response.
+func (s *writeTracker) verdict(ctx context.Context, err error) *verdict.Error {
 	reason := verdict.ContextReason(ctx.Err(), verdict.ReasonUnreachable)
-	if !s.mayHaveLeft() {
-		return verdict.Wrap(err, verdict.NotRun, reason, retryShed)
+	if !s.wroteAny() {
+		return verdict.Wrap(err, verdict.NotRun, reason, defaultRetryAfter)
 	}
 	if reason == verdict.ReasonUnreachable {
 		reason = verdict.ReasonBroken
 	}
-	return verdict.Wrap(err, verdict.MaybeRan, reason, retryShed)
+	return verdict.Wrap(err, verdict.MaybeRan, reason, defaultRetryAfter)
 }
--- a/io/upstream/client_test.go
+++ b/io/upstream/client_test.go
@@ -32,11 +32,10 @@
 
 func target(addr string) *inventory.Target { return &inventory.Target{Name: "t", Addr: addr} }
 
-// A depot books a slot. The upstream books it and dies before it answers, on a
-// connection that has carried a request before. net/http takes an empty POST
-// with Idempotency-Key for one that it may send again by itself, so the depot
-// would have two bays.
-func TestBookingIsNotRepeatedByTheTransport(t *testing.T) {
+// The upstream runs a POST and crashes before it responds, on a reused
+// connection. net/http may repeat an empty POST with an Idempotency-Key on its
+// own, so the upstream would run it twice.
+func TestTransportDoesNotRepeatRequests(t *testing.T) {
 	for _, body := range []string{"", "order"} {
 		var runs atomic.Int32
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -64,9 +63,9 @@
 	}
 }
 
-// TestNotRunIsTrue proves by the upstream's own count that wherever the client
-// says NotRun nothing ran.
-func TestNotRunIsTrue(t *testing.T) {
+// The upstream counts its runs: if the client returns NotRun, it must have run
+// nothing.
+func TestNotRunMeansUpstreamDidNotRun(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		serve  func(runs *atomic.Int32) (addr string, stop func())
@@ -74,11 +73,11 @@
 		want   verdict.Verdict
 		reason verdict.Reason
 	}{
-		{name: "nobody listens", serve: nobody, want: verdict.NotRun, reason: verdict.ReasonUnreachable},
+		{name: "connection refused", serve: refused, want: verdict.NotRun, reason: verdict.ReasonUnreachable},
 		{name: "sheds", serve: sheds, want: verdict.NotRun, reason: verdict.ReasonShed},
-		{name: "answers late", serve: hangs, ctx: short, want: verdict.MaybeRan, reason: verdict.ReasonDeadline},
-		{name: "the caller was gone before", serve: hangs, ctx: gone, want: verdict.NotRun, reason: verdict.ReasonCanceled},
-		{name: "cuts after the request", serve: cuts, want: verdict.MaybeRan, reason: verdict.ReasonBroken},
+		{name: "no response before the deadline", serve: neverResponds, ctx: shortTimeout, want: verdict.MaybeRan, reason: verdict.ReasonDeadline},
+		{name: "canceled before it was sent", serve: neverResponds, ctx: canceled, want: verdict.NotRun, reason: verdict.ReasonCanceled},
+		{name: "connection closed after the request", serve: closesConnection, want: verdict.MaybeRan, reason: verdict.ReasonBroken},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var runs atomic.Int32
@@ -101,17 +100,17 @@
 	}
 }
 
-func short() (context.Context, context.CancelFunc) {
+func shortTimeout() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), 50*time.Millisecond)
 }
 
-func gone() (context.Context, context.CancelFunc) {
+func canceled() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx, cancel
 }
 
-func nobody(*atomic.Int32) (string, func()) {
+func refused(*atomic.Int32) (string, func()) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -129,7 +128,7 @@
 	return serving(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
 }
 
-func hangs(runs *atomic.Int32) (string, func()) {
+func neverResponds(runs *atomic.Int32) (string, func()) {
 	return serving(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		runs.Add(1)
@@ -137,7 +136,7 @@
 	})
 }
 
-func cuts(runs *atomic.Int32) (string, func()) {
+func closesConnection(runs *atomic.Int32) (string, func()) {
 	return serving(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		runs.Add(1)
@@ -145,8 +144,8 @@
 	})
 }
 
-// A mechanic closes the page while the history is being read. The upstream must
-// hear of it, or it works on for nobody.
+// If the caller cancels a request, the upstream must notice, or it goes on
+// working on a response that nobody reads.
 func TestCancellationReachesTheUpstream(t *testing.T) {
 	started, stopped := make(chan struct{}), make(chan struct{})
 	addr, stop := serving(func(_ http.ResponseWriter, r *http.Request) {
@@ -169,8 +168,8 @@
 	}
 }
 
-// Guards against a refusal that loses the pause which the upstream asked for.
-func TestShedSaysForHowLong(t *testing.T) {
+// The Retry-After time of a shed response must be part of the error.
+func TestShedErrorHasRetryAfter(t *testing.T) {
 	addr, stop := serving(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "2.5")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -179,9 +178,9 @@
 	_, err := NewClient().Send(t.Context(), target(addr), []int{503}, request(t, http.MethodGet, ""))
 	var shed *ShedError
 	if !errors.As(err, &shed) || shed.Pause != 2500*time.Millisecond {
-		t.Errorf("err = %v, want a pause of 2.5 s", err)
+		t.Errorf("err = %v, want ShedError with retry after 2.5 s", err)
 	}
 	if after := verdict.As(err).RetryAfter; after != 2500*time.Millisecond {
-		t.Errorf("come back after %v", after)
+		t.Errorf("RetryAfter = %v, want 2.5 s", after)
 	}
 }
--- a/io/upstream/conn.go
+++ b/io/upstream/conn.go
@@ -17,53 +17,56 @@
 	"auburnlatch/core/verdict"
 )
 
-// Bounds of a connection.
+// Limits of a connection.
 const (
-	// asideAbove is the body length above which a request is written by a
-	// goroutine of its own, so that an answer that comes before the body has been
-	// taken in is read at once: shorter ones fit into socket buffers.
-	asideAbove = 16 << 10
-	// maxStray is how many answers to earlier requests are read over.
-	maxStray = 4
-	// maxStrayBody bounds what is read of one.
-	maxStrayBody = 1 << 20
-	// defaultKeep is how long a connection is kept if the upstream names no
-	// time: short of the usual five seconds.
-	defaultKeep = 4 * time.Second
-	// keepShare is the part of the upstream's idle timeout after which a
-	// connection is not used any more, so that a request does not cross its
-	// close: of ten seconds it leaves one, some times the longest round trip. Where
-	// 80 VMs share 234 upstreams a connection is used each five seconds, and at 0.7
-	// a tenth more had to be opened.
-	keepShare = 0.9
+	// asyncWriteThreshold is the body length in bytes above which a request is
+	// written by a separate goroutine, so that a response sent before the
+	// upstream has read the body is read at once. Shorter bodies fit into socket
+	// buffers.
+	asyncWriteThreshold = 16 << 10
+	// maxStrayResponses is how many responses to earlier requests are skipped.
+	maxStrayResponses = 4
+	// maxStrayResponseBody is how many bytes of the body of a skipped response are
+	// read.
+	maxStrayResponseBody = 1 << 20
+	// defaultKeepAlive is how long an idle connection is kept if the upstream
+	// sends no Keep-Alive timeout. It is below the usual five seconds.
+	defaultKeepAlive = 4 * time.Second
+	// keepAliveFraction is the fraction of the upstream's idle timeout after which
+	// a connection is no longer reused, so that a request is not sent while the
+	// upstream closes the connection. Of ten seconds it leaves one, several times
+	// the longest round trip. With 80 VMs and 234 upstreams a connection is used
+	// every five seconds, and a fraction of 0.7 opened a tenth more connections.
+	keepAliveFraction = 0.9
 )
 
-// errStray says that the answer on a connection belongs to another request.
-var errStray = errors.New("answer to another request")
+// errStray reports that the responses on a connection belong to other requests.
+var errStray = errors.New("received a response to another request")
 
-// conn is one connection to an upstream. It carries one request at a time.
+// conn is a connection to an upstream. It carries one request at a time.
 type conn struct {
 	net.Conn
-	r       *bufio.Reader
-	written atomic.Int64
-	usedAt  time.Time
-	keep    time.Duration
-	reused  bool
+	r         *bufio.Reader
+	written   atomic.Int64
+	usedAt    time.Time
+	keepAlive time.Duration
+	reused    bool
 }
 
-// Write implements net.Conn and counts what may have gone out. It counts before
-// it writes, since a write that fails may have sent a part.
+// Write implements net.Conn and counts the bytes that may have been sent. It
+// counts before it writes, since a failed write may have sent part of the data.
 func (c *conn) Write(p []byte) (int, error) {
 	c.written.Add(int64(len(p)))
 	return c.Conn.Write(p)
 }
 
-// fresh reports whether a kept connection can be used again: it was used
-// lately, the upstream has not closed it and sent nothing since. An upstream
-// that closes an idle connection shows only by a read; without it a request
-// that must not be repeated would be written to a closed connection and lost.
-func (c *conn) fresh(now time.Time) bool {
-	if now.Sub(c.usedAt) > c.keep || c.r.Buffered() > 0 {
+// canReuse reports whether an idle connection can be reused: its keep-alive time
+// has not passed, and the upstream has neither closed it nor sent anything since
+// its last response. Only a read shows that the upstream closed the connection.
+// Without it, a request that must not be repeated could be written to a closed
+// connection and lost.
+func (c *conn) canReuse(now time.Time) bool {
+	if now.Sub(c.usedAt) > c.keepAlive || c.r.Buffered() > 0 {
 		return false
 	}
 	sc, ok := c.Conn.(syscall.Conn)
@@ -84,16 +87,17 @@
 	return err == nil && quiet
 }
 
-// exchange is one request on a connection and its answer.
+// exchange is one request on a connection and its response.
 type exchange struct {
 	conn *conn
 	call *Call
-	// wrote is closed when the request is written; writeErr is set before.
+	// wrote is closed after the request has been written or writing it has
+	// failed; writeErr is set before.
 	wrote    chan struct{}
 	writeErr error
 }
 
-// run writes the request.
+// run writes the request and closes wrote.
 func (e *exchange) run() {
 	defer close(e.wrote)
 	_, e.writeErr = e.call.writeTo(e.conn)
@@ -109,20 +113,20 @@
 	}
 }
 
-// start writes the request, aside where it is long.
+// start writes the request, in a separate goroutine if its body is long or not
+// buffered.
 func (e *exchange) start() {
-	if e.call.whole() && len(e.call.Body) <= asideAbove {
+	if e.call.buffered() && len(e.call.Body) <= asyncWriteThreshold {
 		e.run()
 		return
 	}
 	go e.run()
 }
 
-// answer reads the header of the answer to the call. Answers that bear the ID
-// of another request are late or extra ones, which belong to nobody: they are
-// read over.
-func (e *exchange) answer() (*http.Response, error) {
-	for range maxStray {
+// readResponse reads the header of the response to the call. A response with the
+// ID of another request is late or a duplicate, and is skipped.
+func (e *exchange) readResponse() (*http.Response, error) {
+	for range maxStrayResponses {
 		resp, err := http.ReadResponse(e.conn.r, &http.Request{Method: e.call.Method})
 		if err != nil {
 			return nil, err
@@ -136,38 +140,39 @@
 		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 			return nil, errStray
 		}
-		if n, err := io.CopyN(io.Discard, resp.Body, maxStrayBody); err != io.EOF || n == maxStrayBody {
+		if n, err := io.CopyN(io.Discard, resp.Body, maxStrayResponseBody); err != io.EOF || n == maxStrayResponseBody {
 			return nil, errStray
 		}
 	}
 	return nil, errStray
 }
 
-// reusable reports whether the connection may carry another request after an
-// answer. An upstream that answered before it had the whole request reads on
-// where the rest of the body is due, so a request sent then would be taken for
-// that rest.
+// reusable reports whether the connection may carry another request after the
+// response. An upstream that responded before it had read the whole request still
+// expects the rest of the body, and would read the next request as part of it.
 func (e *exchange) reusable(resp *http.Response) bool {
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	return framed && !resp.Close && e.sent()
 }
 
-// verdict judges a request that brought no answer.
+// verdict returns the error of a request that got no response. before is the
+// connection's count of written bytes before the request.
 func (e *exchange) verdict(ctx context.Context, before int64, err error) *verdict.Error {
 	reason := verdict.ContextReason(ctx.Err(), verdict.ReasonBroken)
 	if e.conn.written.Load() == before {
-		return verdict.Wrap(err, verdict.NotRun, reason, retryShed)
+		return verdict.Wrap(err, verdict.NotRun, reason, defaultRetryAfter)
 	}
 	return verdict.Wrap(err, verdict.MaybeRan, reason, 0)
 }
 
-// keepFor returns how long the upstream keeps the connection idle.
-func keepFor(h http.Header) time.Duration {
+// keepAliveFor returns how long the connection may be reused, by the Keep-Alive
+// field of a response header.
+func keepAliveFor(h http.Header) time.Duration {
 	for _, param := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(param), "=")
 		if seconds, err := strconv.Atoi(value); name == "timeout" && err == nil {
-			return time.Duration(keepShare * float64(time.Duration(seconds)*time.Second))
+			return time.Duration(keepAliveFraction * float64(time.Duration(seconds)*time.Second))
 		}
 	}
-	return defaultKeep
+	return defaultKeepAlive
 }
--- a/io/upstream/doc.go
+++ b/io/upstream/doc.go
@@ -4,9 +4,9 @@
 // # Usage
 //
 //	c := upstream.NewClient()
-//	resp, err := c.Send(ctx, target, req)
+//	resp, err := c.Send(ctx, target, shedStatuses, req)
 //
-// An error says by its verdict whether the request may have run. NotRun is
-// given only on proof: no byte of the request was written to any connection, or
-// the upstream answered with a status that the inventory names as its refusal.
+// The verdict of an error states whether the request may have run. It is NotRun
+// only on proof: no byte of the request was written to any connection, or the
+// upstream responded with one of the service's shed statuses in the inventory.
 package upstream
--- a/io/upstream/header.go
+++ b/io/upstream/header.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// MaxPause bounds the time for which RetryAfter returns that an upstream is to be left alone.
+// MaxRetryAfter is the longest time that RetryAfter returns.
 const MaxPause = 24 * time.Hour
 
-// RetryAfter returns how long an upstream that turned a request away wants to be left alone, by
-// the header of its answer; 0: it does not say. Of several times the longest holds. A date is
-// none: an upstream's time of day is not this VM's.
+// RetryAfter returns how long an upstream that shed a request asks not to be sent others, by the
+// Retry-After fields of its response header, or 0 if it names no time. Of several times the
+// longest applies. Dates are ignored, since the clocks of the upstream and this VM may differ.
 func RetryAfter(h http.Header) time.Duration {
 	longest := 0.0
 	for _, text := range h.Values("Retry-After") {
@@ -24,7 +24,7 @@
 	return time.Duration(min(longest, MaxPause.Seconds()) * float64(time.Second))
 }
 
-// Decimal parses a decimal number that is not negative, without an exponent.
+// Decimal parses a non-negative decimal number without an exponent.
 func Decimal(text string) (float64, bool) {
 	text = strings.TrimSpace(text)
 	if text == "" || strings.Trim(text, "0123456789.") != "" {
--- a/io/upstream/pool.go
+++ b/io/upstream/pool.go
@@ -18,21 +18,22 @@
 )
 
 const (
-	// readBuffer of a connection, in bytes: an answer's header and a small body.
+	// readBuffer is the size of a connection's read buffer in bytes. It holds the
+	// header and body of a small response.
 	readBuffer = 4 << 10
-	// tcpUserTimeout is how long sent bytes may stay unacknowledged. A host
-	// without power or behind a cut sends no reset; without it a connection would
-	// hang until the request's deadline.
+	// tcpUserTimeout is how long sent bytes may stay unacknowledged. A host that
+	// lost power or is partitioned sends no reset, so that without this timeout a
+	// connection would hang until the request's deadline.
 	tcpUserTimeout = 1500 * time.Millisecond
-	// retryWithheld is when to come back after a request was kept from its upstream.
-	retryWithheld = 250 * time.Millisecond
+	// withheldRetryAfter is the retry-after time of a request that Admit withheld.
+	withheldRetryAfter = 250 * time.Millisecond
 	// optTCPUserTimeout is TCP_USER_TIMEOUT, which package syscall does not name.
 	optTCPUserTimeout = 18
 )
 
-// Pool sends requests to upstreams on kept connections. Unlike Client it never
-// repeats anything by itself, keeps connections by incarnation, and tells late
-// answers to earlier requests from the one it waits for. It is safe for
+// Pool sends requests to upstreams and keeps idle connections for reuse. Unlike
+// Client it never repeats a request on its own, keeps connections per upstream
+// incarnation, and skips late responses to earlier requests. It is safe for
 // concurrent use.
 type Pool struct {
 	dial   Dial
@@ -42,7 +43,7 @@
 	idle map[string][]*conn
 }
 
-// NewPool returns a pool without connections.
+// NewPool returns an empty pool.
 func NewPool(opts ...Option) *Pool {
 	o := &options{dial: (&net.Dialer{Control: setUserTimeout, KeepAlive: -1}).DialContext}
 	for _, opt := range opts {
@@ -61,45 +62,45 @@
 	return err
 }
 
-// Opened returns how many connections were opened so far.
+// Opened returns the number of connections opened so far.
 func (p *Pool) Opened() int64 { return p.opened.Load() }
 
-// Send sends a request once and returns its answer, whose body the caller
-// closes. The error says whether the request may have run. dialWithin bounds
-// the opening of a connection.
+// Send sends a request once and returns the response, whose body the caller
+// closes. The verdict of an error states whether the request may have run.
+// dialWithin is the timeout for opening a connection.
 func (p *Pool) Send(ctx context.Context, call *Call, dialWithin time.Duration) (*http.Response, error) {
 	c, err := p.get(ctx, call, dialWithin)
 	if err != nil {
 		return nil, err
 	}
 	if ctx.Err() != nil {
-		// The caller has left, or its time is over: nothing is written for it.
-		p.put(call.Target, c)
+		// The caller has left or its deadline has passed, so nothing is written.
+		p.pushIdle(call.Target, c)
 		return nil, verdict.Wrap(ctx.Err(), verdict.NotRun, verdict.ReasonCanceled, 0)
 	}
 	if call.Admit != nil && !call.Admit(time.Now()) {
-		p.put(call.Target, c)
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonWithheld, retryWithheld)
+		p.pushIdle(call.Target, c)
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonWithheld, withheldRetryAfter)
 	}
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	e := &exchange{conn: c, call: call, wrote: make(chan struct{})}
 	before := c.written.Load()
 	e.start()
-	resp, err := e.answer()
+	resp, err := e.readResponse()
 	if err != nil {
 		stop()
 		c.Close()
 		return nil, e.verdict(ctx, before, err)
 	}
-	resp.Body = &answerBody{ReadCloser: resp.Body, pool: p, exchange: e, resp: resp, stop: stop}
+	resp.Body = &responseBody{ReadCloser: resp.Body, pool: p, exchange: e, resp: resp, stop: stop}
 	return resp, nil
 }
 
-// get returns a kept connection, or a new one.
+// get returns an idle connection to the call's target, or opens a new one.
 func (p *Pool) get(ctx context.Context, call *Call, dialWithin time.Duration) (*conn, error) {
 	now := time.Now()
-	for c := p.take(call.Target); c != nil; c = p.take(call.Target) {
-		if c.fresh(now) {
+	for c := p.popIdle(call.Target); c != nil; c = p.popIdle(call.Target) {
+		if c.canReuse(now) {
 			c.reused = true
 			return c, nil
 		}
@@ -113,40 +114,40 @@
 		if ctx.Err() != nil {
 			reason = verdict.ReasonCanceled
 		}
-		return nil, verdict.Wrap(err, verdict.NotRun, reason, retryShed)
+		return nil, verdict.Wrap(err, verdict.NotRun, reason, defaultRetryAfter)
 	}
 	p.opened.Add(1)
 	call.Connect = time.Since(now)
 	return &conn{Conn: raw, r: bufio.NewReaderSize(raw, readBuffer)}, nil
 }
 
-// Listening is whether somebody takes connections at an address.
+// Listening states whether a process accepts connections at an address.
 type Listening int
 
 const (
-	// Unknown: nobody answered in time, or ended the connection at once, as something
-	// does that stands before whoever should take it.
+	// Unknown means that the connection was not accepted in time or was closed at once. A
+	// proxy in front of a stopped process closes it like that.
 	Unknown Listening = iota
-	// Listens: a connection was opened, and stayed so.
+	// Listens means that a connection was opened and stayed open.
 	Listens
-	// Refuses: the host says that nobody does.
+	// Refuses means that the host refused the connection.
 	Refuses
 )
 
-// staysOpen is how long a connection has to stay open to show that somebody listens.
-const staysOpen = 50 * time.Millisecond
+// listenCheckTime is how long a connection must stay open to show that a process listens.
+const listenCheckTime = 50 * time.Millisecond
 
-// Listens finds out whether somebody takes connections at an address, by one that is
-// closed again soon.
+// Listens checks whether a process accepts connections at an address. It opens one and
+// closes it shortly afterwards.
 func (p *Pool) Listens(ctx context.Context, addr string, within time.Duration) Listening {
-	found := listens(ctx, p.dial, addr, within)
+	found := checkListening(ctx, p.dial, addr, within)
 	if found == Listens {
 		p.opened.Add(1)
 	}
 	return found
 }
 
-func listens(ctx context.Context, dial Dial, addr string, within time.Duration) Listening {
+func checkListening(ctx context.Context, dial Dial, addr string, within time.Duration) Listening {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	raw, err := dial(ctx, "tcp", addr)
@@ -157,7 +158,7 @@
 		return Unknown
 	}
 	defer raw.Close()
-	if err := raw.SetReadDeadline(time.Now().Add(staysOpen)); err != nil {
+	if err := raw.SetReadDeadline(time.Now().Add(listenCheckTime)); err != nil {
 		return Unknown
 	}
 	if _, err := raw.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -166,8 +167,9 @@
 	return Listens
 }
 
-// take removes the connection used last from those kept for a target.
-func (p *Pool) take(target string) *conn {
+// popIdle removes and returns the most recently used idle connection to a target, or
+// returns nil if there is none.
+func (p *Pool) popIdle(target string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[target]
@@ -179,21 +181,21 @@
 	return c
 }
 
-func (p *Pool) put(target string, c *conn) {
+func (p *Pool) pushIdle(target string, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[target] = append(p.idle[target], c)
 }
 
-// Sweep closes connections that have been idle too long, and all that are kept
-// for targets that are not there any more.
+// Sweep closes connections that have been idle for longer than their keep-alive
+// time, and all idle connections to targets that no longer exist.
 func (p *Pool) Sweep(now time.Time, there func(target string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for target, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if !there(target) || now.Sub(c.usedAt) > c.keep {
+			if !there(target) || now.Sub(c.usedAt) > c.keepAlive {
 				c.Close()
 				continue
 			}
@@ -206,39 +208,39 @@
 	}
 }
 
-// answerBody is the body of an answer. When it has been read whole the
-// connection is kept; when it is closed before, so is the connection.
-type answerBody struct {
+// responseBody is the body of a response. Close keeps the connection for reuse if
+// the body has been read to its end, and closes it otherwise.
+type responseBody struct {
 	io.ReadCloser
 	pool     *Pool
 	exchange *exchange
 	resp     *http.Response
 	stop     func() bool
-	whole    bool
+	complete bool
 	closed   bool
 }
 
 // Read implements io.Reader.
-func (b *answerBody) Read(p []byte) (int, error) {
+func (b *responseBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
-		b.whole = true
+		b.complete = true
 	}
 	return n, err
 }
 
 // Close implements io.Closer.
-func (b *answerBody) Close() error {
+func (b *responseBody) Close() error {
 	if b.closed {
 		return nil
 	}
 	b.closed = true
 	c := b.exchange.conn
-	// A cancellation that has begun closes the connection at any moment.
-	if !b.stop() || !b.whole || !b.exchange.reusable(b.resp) || c.r.Buffered() > 0 {
+	// A cancellation that has already begun may close the connection at any moment.
+	if !b.stop() || !b.complete || !b.exchange.reusable(b.resp) || c.r.Buffered() > 0 {
 		return c.Close()
 	}
-	c.usedAt, c.keep = time.Now(), keepFor(b.resp.Header)
-	b.pool.put(b.exchange.call.Target, c)
+	c.usedAt, c.keepAlive = time.Now(), keepAliveFor(b.resp.Header)
+	b.pool.pushIdle(b.exchange.call.Target, c)
 	return nil
 }
--- a/io/upstream/pool_test.go
+++ b/io/upstream/pool_test.go
@@ -14,11 +14,11 @@
 	"auburnlatch/io/upstream"
 )
 
-// server answers connections by a script: what it does with each request.
+// server runs a scripted handler for each connection.
 type server struct {
 	t *testing.T
 	l net.Listener
-	// serve answers the n-th connection, counted from 0.
+	// serve handles the n-th connection, counted from 0.
 	serve func(n int, c net.Conn, r *bufio.Reader)
 }
 
@@ -51,13 +51,13 @@
 	conn   net.Conn
 }
 
-// run plays the script on one connection.
+// run handles one connection.
 func (s *script) run() {
 	defer s.conn.Close()
 	s.server.serve(s.n, s.conn, bufio.NewReader(s.conn))
 }
 
-// readRequest takes one request in, its body included.
+// readRequest reads one request with its body.
 func readRequest(r *bufio.Reader) (*http.Request, bool) {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return string(body), err
 }
 
-func TestConnectionIsKept(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	addr := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			req, ok := readRequest(r)
@@ -112,10 +112,10 @@
 	}
 }
 
-// An upstream sends an answer twice. The second copy arrives where the next
-// request's answer is due, and its caller would be given another caller's
-// booking. The ID tells it apart; the right answer is the one behind it.
-func TestStrayAnswerIsReadOver(t *testing.T) {
+// An upstream sends a response twice, and the second copy arrives where the
+// response to the next request is expected. Its ID shows that it belongs to an
+// earlier request; otherwise a caller would get another caller's response.
+func TestStrayResponseIsSkipped(t *testing.T) {
 	addr := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if _, ok := readRequest(r); !ok {
 			return
@@ -136,9 +136,9 @@
 	}
 }
 
-// The extra answer is already there when the connection is kept. It must not be
-// used again: what else follows on it is not known.
-func TestConnectionWithExtraBytesIsNotKept(t *testing.T) {
+// An extra response has already arrived when the connection becomes idle. The
+// connection must not be reused, since it is unknown what follows on it.
+func TestConnectionWithExtraBytesIsNotReused(t *testing.T) {
 	sent := make(chan struct{}, 2)
 	addr := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		req, ok := readRequest(r)
@@ -162,10 +162,10 @@
 	}
 }
 
-// An upstream answers a long upload before it has read it, keeps the connection
-// and reads on. A request sent then would be taken for the rest of that body: it
-// would run nowhere, or a request nobody sent would run.
-func TestEarlyAnswerEndsConnection(t *testing.T) {
+// An upstream responds to a long upload before it has read the body, and keeps
+// reading. It would read the next request as the rest of that body, so that the
+// request would be lost, or a part of the body would run as a request.
+func TestEarlyResponseClosesConnection(t *testing.T) {
 	addr := startServer(t, func(n int, c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
@@ -173,7 +173,7 @@
 		}
 		answer(c, req.Header.Get("Id"), "early")
 		if n == 0 {
-			_, _ = io.Copy(io.Discard, io.LimitReader(r, 1)) // Holds the rest back.
+			_, _ = io.Copy(io.Discard, io.LimitReader(r, 1)) // Leaves the rest unread.
 			<-t.Context().Done()
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
@@ -193,7 +193,7 @@
 	}
 }
 
-// What a failure proves decides whether a booking may be sent again.
+// The verdict of an error decides whether a request may be retried.
 func TestVerdicts(t *testing.T) {
 	refusing, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -217,8 +217,8 @@
 	}{
 		{"connection refused", refusing.Addr().String(), verdict.NotRun, verdict.ReasonUnreachable},
 		{"closed after the request", startServer(t, closes), verdict.MaybeRan, verdict.ReasonBroken},
-		{"bytes that are no answer", startServer(t, garbles), verdict.MaybeRan, verdict.ReasonBroken},
-		{"only another's answer", startServer(t, misplaced), verdict.MaybeRan, verdict.ReasonBroken},
+		{"malformed response", startServer(t, garbles), verdict.MaybeRan, verdict.ReasonBroken},
+		{"only a response to another request", startServer(t, misplaced), verdict.MaybeRan, verdict.ReasonBroken},
 	} {
 		_, err := send(t, upstream.NewPool(), call(tc.addr, "1"))
 		if e := verdict.As(err); err == nil || e.Verdict != tc.want || e.Reason != tc.reason {
@@ -227,9 +227,9 @@
 	}
 }
 
-// An upstream closes a kept connection while it is idle. A booking written to it
-// would be lost, with nobody to say whether it ran. So a closed connection is
-// noticed before the booking is written, and a new one is used.
+// An upstream closes an idle connection. A request written to it would be lost,
+// and it would be unknown whether it ran. The pool must notice the close before
+// it writes the request, and open a new connection.
 func TestClosedIdleConnectionIsNoticed(t *testing.T) {
 	closed := make(chan struct{})
 	addr := startServer(t, func(n int, c net.Conn, r *bufio.Reader) {
@@ -255,9 +255,9 @@
 	}
 }
 
-// An answer without a length ends with its connection. One that is reset on the
-// way must not look whole.
-func TestUnframedAnswer(t *testing.T) {
+// A response without a length ends when its connection is closed. One whose
+// connection is reset must not appear complete.
+func TestResponseWithoutLength(t *testing.T) {
 	for name, tc := range map[string]struct {
 		reset bool
 		want  bool
@@ -271,14 +271,14 @@
 		})
 		_, err := send(t, upstream.NewPool(), call(addr, "1"))
 		if got := err == nil; got != tc.want {
-			t.Errorf("%s: whole = %v (%v), want %v", name, got, err, tc.want)
+			t.Errorf("%s: complete = %v (%v), want %v", name, got, err, tc.want)
 		}
 	}
 }
 
-// An upstream ends and another has its address. Connections to the old one may
-// still be open, and belong to the old one only.
-func TestSweepClosesConnectionsOfTheGone(t *testing.T) {
+// An upstream stops and another one gets its address. Connections to the old
+// one that are still open must not be used for the new one.
+func TestSweepClosesConnectionsToRemovedTargets(t *testing.T) {
 	ended := make(chan struct{})
 	addr := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		req, ok := readRequest(r)
@@ -298,8 +298,8 @@
 	<-ended
 }
 
-// A caller leaves while its request is at work: the upstream sees the connection
-// close and can stop.
+// If the caller leaves while its request runs, the connection is closed, so that
+// the upstream can stop its work.
 func TestCancelClosesConnection(t *testing.T) {
 	got, ended := make(chan struct{}), make(chan struct{})
 	addr := startServer(t, func(_ int, _ net.Conn, r *bufio.Reader) {
--- a/io/upstream/probe.go
+++ b/io/upstream/probe.go
@@ -14,14 +14,14 @@
 	"auburnlatch/schema"
 )
 
-// Bounds of a probe.
+// Limits of a probe.
 const (
 	probeTimeout  = time.Second
 	maxProbeReply = 4 << 10
 )
 
-// Probe asks the target's health endpoint. An error says that it did not
-// answer as it should; what that means is for the caller to judge.
+// Probe queries the target's health endpoint. It returns an error if there is no
+// response or not a valid one; the caller decides what follows from that.
 func (c *Client) Probe(ctx context.Context, t *inventory.Target) (dispatch.Health, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
