--- a/io/peer/client.go
+++ b/io/peer/client.go
@@ -18,16 +18,17 @@
 	"auburnlatch/schema"
 )
 
-// Bounds of the client.
+// Limits of the client.
 const (
 	callTimeout = time.Second
-	// idleLimit is how long an unused connection is kept. VMs that are called all the time
-	// are called again within a few seconds; of the others a VM meets some hundred.
-	idleLimit = 10 * time.Second
+	// maxIdle is how long an unused connection is kept. VMs that are called regularly are
+	// called again within a few seconds. Some hundred others are called only now and then,
+	// and their connections are not kept.
+	maxIdle = 10 * time.Second
 )
 
-// Client calls other VMs. It keeps one connection to each. It is safe for
-// concurrent use.
+// Client calls other VMs over one connection to each. It is safe for concurrent
+// use.
 type Client struct {
 	bytesIn  atomic.Int64
 	bytesOut atomic.Int64
@@ -39,8 +40,8 @@
 	conns map[string]*conn
 }
 
-// conn is the connection to one VM; its lock is held for a call, as a drpc
-// connection carries one at a time.
+// conn is the connection to one VM. Its lock is held during a call, as a drpc
+// connection carries one call at a time.
 type conn struct {
 	mu   sync.Mutex
 	drpc *drpcconn.Conn
@@ -50,13 +51,13 @@
 // Dial opens a connection, as net.Dialer.DialContext does.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Option varies a Client.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithDial has the client open its connections by dial.
+// WithDial sets the function that opens connections.
 func WithDial(dial Dial) Option { return func(c *Client) { c.dial = dial } }
 
-// WithExchangesCounted has what is sent to copies counted.
+// WithExchangesCounted counts the bytes sent in exchanges of members and tables in t.
 func WithExchangesCounted(t *SentCounter) Option { return func(c *Client) { c.sent = t } }
 
 // NewClient returns a client without connections.
@@ -68,11 +69,11 @@
 	return c
 }
 
-// Traffic returns how many bytes were read and written so far.
+// Traffic returns the number of bytes read and written so far.
 func (c *Client) Traffic() (in, out int64) { return c.bytesIn.Load(), c.bytesOut.Load() }
 
-// Exchange brings the table and that of the VM at addr level, within the scope:
-// what each lacks it is given. ownZone is the zone of the caller's VM.
+// Exchange synchronizes the table with that of the VM at addr, within the scope:
+// each VM receives the entries that it lacks. ownZone is the zone of this VM.
 func (c *Client) Exchange(ctx context.Context, addr string, t *member.Table, ownZone string, scope member.Scope) error {
 	return c.call(ctx, addr, func(ctx context.Context, p schema.DRPCPeerClient) error {
 		digest := &schema.Digest{Zone: ownZone, Global: scope.Global, Stamps: wire.FromStamps(t.Digest(time.Now(), scope))}
@@ -93,14 +94,14 @@
 	})
 }
 
-// Changes is what a VM answers to a request for changes: the changes, or a
-// whole inventory where it keeps them no longer.
+// Changes is a VM's reply to a request for inventory changes: the changes, or a
+// snapshot of the inventory if the VM no longer has them.
 type Changes struct {
 	Changes  []inventory.Change
 	Snapshot *inventory.Inventory
 }
 
-// Changes asks the VM at addr for the changes after a version.
+// Changes requests the inventory changes after a version from the VM at addr.
 func (c *Client) Changes(ctx context.Context, addr string, after uint64) (Changes, error) {
 	var out Changes
 	err := c.call(ctx, addr, func(ctx context.Context, p schema.DRPCPeerClient) error {
@@ -124,8 +125,8 @@
 	return out, err
 }
 
-// Weights takes over the weights of the VM at addr and returns how many rows
-// there were.
+// Weights copies the weights and recent moves of the VM at addr into rows and
+// returns the number of rows received.
 func (c *Client) Weights(ctx context.Context, addr string, rows *steer.Rows) (int, error) {
 	n := 0
 	err := c.call(ctx, addr, func(ctx context.Context, p schema.DRPCPeerClient) error {
@@ -162,8 +163,8 @@
 	cn.used = time.Now()
 	err := f(ctx, cn.drpc)
 	if err != nil {
-		// What the connection still carries is not known; the next call gets
-		// a fresh one.
+		// It is unknown what the connection still carries, so the next call
+		// opens a new one.
 		_ = cn.drpc.Close()
 		cn.drpc = nil
 	}
@@ -197,7 +198,7 @@
 	return nil
 }
 
-// CloseIdle closes connections that were not used lately.
+// CloseIdle closes connections that have been unused for longer than maxIdle.
 func (c *Client) CloseIdle(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -205,7 +206,7 @@
 		if !cn.mu.TryLock() {
 			continue
 		}
-		if now.Sub(cn.used) > idleLimit {
+		if now.Sub(cn.used) > maxIdle {
 			if cn.drpc != nil {
 				_ = cn.drpc.Close()
 			}
--- a/io/peer/datagram.go
+++ b/io/peer/datagram.go
@@ -17,36 +17,36 @@
 )
 
 const (
-	// perDatagram is how many placements, runs or bans a datagram holds, at 60 bytes each:
-	// below what links carry in one piece.
-	perDatagram = 18
-	// maxDatagram in bytes; what is longer is not ours.
+	// itemsPerDatagram is how many placements, runs or bans a datagram holds. At 60 bytes each
+	// it stays below the MTU of the links.
+	itemsPerDatagram = 18
+	// maxDatagram is the size of the receive buffer in bytes. VMs send no longer datagrams.
 	maxDatagram = 4 << 10
-	// maxAnswered bounds the placements that one question is answered with.
-	maxAnswered = 4 << 10
-	// demandsPerDatagram is the same of teams' demands, at nine bytes each, and maxDemands
-	// bounds those that a VM tells at once. Beyond it teams have equal parts.
+	// maxReplyPlacements is how many placements the reply to one request contains.
+	maxReplyPlacements = 4 << 10
+	// demandsPerDatagram is how many teams' demands a datagram holds, at nine bytes each, and
+	// maxDemands is how many a VM sends at once. Teams beyond it get equal shares.
 	demandsPerDatagram = 140
 	maxDemands         = 10 * demandsPerDatagram
 )
 
-// PlacementTable is what a VM knows of where objects belong.
+// PlacementTable is a VM's record of the placements of objects.
 type PlacementTable interface {
 	// MergePlacements merges placements and returns the known ones that supersede them.
 	MergePlacements(now time.Time, list []balance.Placement) (newer []balance.Placement)
-	// Placements returns all, and a number that rises with each change.
+	// Placements returns all placements, and a number that rises with each change.
 	Placements() (list []balance.Placement, changes uint64)
-	// SetSynced records that another VM has sent all that it knows.
+	// SetSynced records that another VM has sent all its placements.
 	SetSynced()
 }
 
-// PoisonTable is what a VM knows of requests that crash upstreams.
+// PoisonTable is a VM's record of requests that crash upstreams.
 type PoisonTable interface {
 	// MergeNews merges what another VM knows.
 	MergeNews(now time.Time, n poison.News)
-	// Snapshot returns what a VM that has just started needs to know.
+	// Snapshot returns everything that a VM needs at its start.
 	Snapshot() poison.News
-	// Digest stands for all bans; 0: there are none.
+	// Digest returns a hash of all bans, or 0 if there are none.
 	Digest() uint64
 	// Synced reports whether the bans that the platform stores have been merged, and
 	// SetSynced records that another VM which has them has sent them.
@@ -54,30 +54,33 @@
 	SetSynced()
 }
 
-// LimitTable is what a VM knows of the demand of teams with limits.
+// LimitTable is a VM's record of the demand of teams with rate limits.
 type LimitTable interface {
-	// Knows reports whether the sender at an address, IP:port, is a VM. Others are not
-	// heard: they could take all VMs' parts away, or hand out more than there is.
+	// IsPeer reports whether the sender at an address, IP:port, is a VM. Datagrams of other
+	// senders are ignored: they could take the share of a limit away from all VMs, or grant
+	// more than the limit.
 	Knows(now time.Time, addr string) bool
-	// Told takes in what is asked of the VM at an address, and returns the totals; false:
-	// this VM cannot tell.
+	// RecordDemand records the demand at the VM at an address and returns the totals, or
+	// false if this VM does not have them. first marks the first datagram of a series.
 	Told(now time.Time, addr string, list []ratelimit.Demand, first bool) (ratelimit.Total, bool)
-	// Heard takes in totals.
+	// Heard records received totals.
 	Heard(now time.Time, t ratelimit.Total)
 }
 
-// UpstreamTable is what a VM knows of what upstreams say of themselves.
+// UpstreamTable is a VM's record of upstreams' own notices: their limits, and whether they are
+// leaving.
 type UpstreamTable interface {
-	// Knows reports whether the sender at an address, IP:port, is a VM. Others are not heard:
-	// they could keep all VMs from an upstream.
+	// IsPeer reports whether the sender at an address, IP:port, is a VM. Datagrams of other
+	// senders are ignored: they could keep all VMs from using an upstream.
 	Knows(now time.Time, addr string) bool
-	// MergeReports merges what another VM knows.
+	// MergeReports merges the reports of another VM.
 	MergeReports(now time.Time, list []balance.Report)
 }
 
-// Datagrams tells other VMs at once what they had better know: where objects belong, and
-// which requests end upstreams. Nothing waits for it. A placement that is lost costs an
-// object one more first touch; a ban that is lost is told again to those who differ.
+// Datagrams sends updates to other VMs without delay: placements, requests that crash
+// upstreams, teams' demands, and notices of upstreams. Delivery is not acknowledged. A lost
+// placement costs one more cold start of an object, and a lost ban is sent again to VMs whose
+// digest differs.
 type Datagrams struct {
 	conn       *net.UDPConn
 	placements PlacementTable
@@ -87,20 +90,20 @@
 	sent       *SentCounter
 }
 
-// DatagramsOption varies Datagrams.
+// DatagramsOption configures Datagrams.
 type DatagramsOption func(*Datagrams)
 
-// WithDatagramsCounted has what is sent counted.
+// WithDatagramsCounted counts the bytes sent in t.
 func WithDatagramsCounted(t *SentCounter) DatagramsOption { return func(d *Datagrams) { d.sent = t } }
 
-// WithLimits has the demand of teams with limits told and taken.
+// WithLimits sets the table that receives the demand of teams with rate limits.
 func WithLimits(t LimitTable) DatagramsOption { return func(d *Datagrams) { d.limits = t } }
 
-// WithUpstreams has what upstreams say of themselves told and taken.
+// WithUpstreams sets the table that receives reports of upstreams' notices.
 func WithUpstreams(t UpstreamTable) DatagramsOption { return func(d *Datagrams) { d.upstreams = t } }
 
-// ListenDatagrams listens at an address, IP:port. Without placements (nil) none are told
-// nor taken.
+// ListenDatagrams listens at an address, IP:port. If placements is nil, received placements
+// are ignored.
 func ListenDatagrams(addr string, placements PlacementTable, poisoned PoisonTable, opts ...DatagramsOption) (*Datagrams, error) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -117,27 +120,27 @@
 	return d, nil
 }
 
-// Run takes in what other VMs tell until ctx ends.
+// Run receives datagrams of other VMs until ctx is done.
 func (d *Datagrams) Run(ctx context.Context) {
 	defer context.AfterFunc(ctx, func() { d.conn.Close() })()
 	buf := make([]byte, maxDatagram)
 	for ctx.Err() == nil {
 		n, from, err := d.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
-			continue // ctx has ended, or an earlier datagram reached nobody.
+			continue // ctx is done, or an earlier datagram could not be delivered.
 		}
 		var m schema.Datagram
 		if proto.Unmarshal(buf[:n], &m) != nil {
-			continue // Not of a VM.
+			continue // Not sent by a VM.
 		}
 		if d.placements != nil {
-			d.takePlacements(from, &m)
+			d.receivePlacements(from, &m)
 		}
 		if m.GetPoison() != nil {
-			d.takePoison(from, m.GetPoison())
+			d.receivePoison(from, m.GetPoison())
 		}
 		if d.limits != nil && (m.GetDemand() != nil || m.GetTotal() != nil) {
-			d.takeDemand(from, &m)
+			d.receiveDemand(from, &m)
 		}
 		if now := time.Now(); d.upstreams != nil && len(m.GetUpstreams()) > 0 && d.upstreams.Knows(now, from.String()) {
 			d.upstreams.MergeReports(now, wire.Reports(m.GetUpstreams()))
@@ -145,13 +148,13 @@
 	}
 }
 
-func (d *Datagrams) takeDemand(from netip.AddrPort, m *schema.Datagram) {
+func (d *Datagrams) receiveDemand(from netip.AddrPort, m *schema.Datagram) {
 	if !d.limits.Knows(time.Now(), from.String()) {
 		return
 	}
-	if told := m.GetDemand(); told != nil {
-		total, ok := d.limits.Told(time.Now(), from.String(), wire.Demands(told), !told.GetMore())
-		if ok && told.GetAsk() {
+	if demand := m.GetDemand(); demand != nil {
+		total, ok := d.limits.Told(time.Now(), from.String(), wire.Demands(demand), !demand.GetMore())
+		if ok && demand.GetAsk() {
 			d.send(from, &schema.Datagram{Total: wire.FromTotal(total)})
 		}
 	}
@@ -160,10 +163,11 @@
 	}
 }
 
-// TellDemand tells a VM what is asked of this one. With ask it answers with the totals.
+// SendDemand sends the demand at this VM to another. With ask it requests the totals in
+// return.
 func (d *Datagrams) TellDemand(addr string, list []ratelimit.Demand, ask bool) {
 	list = list[:min(maxDemands, len(list))]
-	d.each([]string{addr}, func(to netip.AddrPort) {
+	d.forEachAddr([]string{addr}, func(to netip.AddrPort) {
 		for more := false; !more || len(list) > 0; more = true {
 			n := min(demandsPerDatagram, len(list))
 			d.send(to, &schema.Datagram{Demand: wire.FromDemands(list[:n], ask, more)})
@@ -172,73 +176,74 @@
 	})
 }
 
-func (d *Datagrams) takePlacements(from netip.AddrPort, m *schema.Datagram) {
+func (d *Datagrams) receivePlacements(from netip.AddrPort, m *schema.Datagram) {
 	if newer := d.placements.MergePlacements(time.Now(), wire.Placements(m.GetPlacements())); len(newer) > 0 {
-		d.tell(from, newer)
+		d.sendPlacementsTo(from, newer)
 	}
 	if m.GetAnswer() {
 		d.placements.SetSynced()
 	}
 	if m.GetAsk() {
 		all, _ := d.placements.Placements()
-		d.tell(from, all[:min(maxAnswered, len(all))])
+		d.sendPlacementsTo(from, all[:min(maxReplyPlacements, len(all))])
 		d.send(from, &schema.Datagram{Answer: true})
 	}
 }
 
-func (d *Datagrams) takePoison(from netip.AddrPort, m *schema.PoisonNews) {
+func (d *Datagrams) receivePoison(from netip.AddrPort, m *schema.PoisonNews) {
 	d.poison.MergeNews(time.Now(), wire.Poison(time.Now(), m))
 	if m.GetAnswer() {
 		d.poison.SetSynced()
 	}
 	differs := m.GetDigest() != 0 && m.GetDigest() != d.poison.Digest()
 	if m.GetAsk() || differs {
-		d.tellPoison(from, d.poison.Snapshot())
+		d.sendPoisonTo(from, d.poison.Snapshot())
 		d.send(from, &schema.Datagram{Poison: &schema.PoisonNews{Answer: m.GetAsk() && d.poison.Synced(), Ask: differs}})
 	}
 }
 
-// Tell tells VMs of placements. A VM that cannot be reached hears of them when it
-// asks, or is told by those who know better when it tells its own.
+// SendPlacements sends placements to VMs. A VM that is not reached receives them when it
+// requests all placements, or in reply to its own outdated ones.
 func (d *Datagrams) Tell(addrs []string, list []balance.Placement) {
-	d.each(addrs, func(to netip.AddrPort) { d.tell(to, list) })
+	d.forEachAddr(addrs, func(to netip.AddrPort) { d.sendPlacementsTo(to, list) })
 }
 
-// Ask asks a VM for all placements that it knows.
+// RequestPlacements requests all placements of a VM.
 func (d *Datagrams) Ask(addr string) {
-	d.each([]string{addr}, func(to netip.AddrPort) { d.send(to, &schema.Datagram{Ask: true}) })
+	d.forEachAddr([]string{addr}, func(to netip.AddrPort) { d.send(to, &schema.Datagram{Ask: true}) })
 }
 
-// TellPoison tells VMs of requests under which upstreams end.
+// SendPoison sends updates on requests that crash upstreams to VMs.
 func (d *Datagrams) TellPoison(addrs []string, n poison.News) {
-	d.each(addrs, func(to netip.AddrPort) { d.tellPoison(to, n) })
+	d.forEachAddr(addrs, func(to netip.AddrPort) { d.sendPoisonTo(to, n) })
 }
 
-// AskPoison asks VMs for all that they know of such requests.
+// RequestPoison requests all records of such requests from VMs.
 func (d *Datagrams) AskPoison(addrs ...string) {
-	d.each(addrs, func(to netip.AddrPort) { d.send(to, &schema.Datagram{Poison: &schema.PoisonNews{Ask: true}}) })
+	d.forEachAddr(addrs, func(to netip.AddrPort) { d.send(to, &schema.Datagram{Poison: &schema.PoisonNews{Ask: true}}) })
 }
 
-// ComparePoison tells a VM what this one's bans come to. One that has others tells them.
+// SendPoisonDigest sends the digest of this VM's bans to another VM, which sends its own
+// bans in reply if its digest differs.
 func (d *Datagrams) ComparePoison(addr string) {
-	d.each([]string{addr}, func(to netip.AddrPort) {
+	d.forEachAddr([]string{addr}, func(to netip.AddrPort) {
 		d.send(to, &schema.Datagram{Poison: &schema.PoisonNews{Digest: d.poison.Digest()}})
 	})
 }
 
-// TellReports tells VMs what upstreams said.
+// SendReports sends reports of upstreams' notices to VMs.
 func (d *Datagrams) TellReports(addrs []string, list []balance.Report) {
-	d.each(addrs, func(to netip.AddrPort) {
+	d.forEachAddr(addrs, func(to netip.AddrPort) {
 		for rest := list; len(rest) > 0; {
-			n := min(perDatagram, len(rest))
+			n := min(itemsPerDatagram, len(rest))
 			d.send(to, &schema.Datagram{Upstreams: wire.FromReports(rest[:n])})
 			rest = rest[n:]
 		}
 	})
 }
 
-// each calls f with each address that is one.
-func (d *Datagrams) each(addrs []string, f func(netip.AddrPort)) {
+// forEachAddr calls f with each valid address.
+func (d *Datagrams) forEachAddr(addrs []string, f func(netip.AddrPort)) {
 	for _, addr := range addrs {
 		if to, err := netip.ParseAddrPort(addr); err == nil {
 			f(to)
@@ -246,22 +251,22 @@
 	}
 }
 
-func (d *Datagrams) tell(to netip.AddrPort, list []balance.Placement) {
+func (d *Datagrams) sendPlacementsTo(to netip.AddrPort, list []balance.Placement) {
 	for len(list) > 0 {
-		n := min(perDatagram, len(list))
+		n := min(itemsPerDatagram, len(list))
 		d.send(to, &schema.Datagram{Placements: wire.FromPlacements(list[:n])})
 		list = list[n:]
 	}
 }
 
-// tellPoison tells one VM, in as many datagrams as it takes.
-func (d *Datagrams) tellPoison(to netip.AddrPort, n poison.News) {
+// sendPoisonTo sends updates to one VM, in as many datagrams as needed.
+func (d *Datagrams) sendPoisonTo(to netip.AddrPort, n poison.News) {
 	for !n.Empty() {
-		d.send(to, &schema.Datagram{Poison: wire.FromPoison(time.Now(), n.Take(perDatagram))})
+		d.send(to, &schema.Datagram{Poison: wire.FromPoison(time.Now(), n.Take(itemsPerDatagram))})
 	}
 }
 
-// count counts a datagram by what it is about.
+// count adds the size of a datagram to the counter of its content.
 func (d *Datagrams) count(m *schema.Datagram, bytes int) {
 	n := &d.sent.Placements
 	switch {
@@ -278,9 +283,9 @@
 func (d *Datagrams) send(to netip.AddrPort, m *schema.Datagram) {
 	data, err := proto.Marshal(m)
 	if err != nil {
-		return // Only a text that is not UTF-8 does that; the object then stays this VM's.
+		return // Only a string that is not UTF-8 fails; the placement is then known only to this VM.
 	}
 	d.count(m, len(data))
-	// A datagram that cannot be sent is one that is lost.
+	// A datagram that cannot be sent counts as lost.
 	_, _ = d.conn.WriteToUDPAddrPort(data, to)
 }
--- a/io/peer/doc.go
+++ b/io/peer/doc.go
@@ -1,12 +1,13 @@
-// Package peer is the control protocol between VMs, over drpc: the exchange of
-// membership entries, changes to the inventory, and weights for a VM that
-// starts. schema/peer.proto has the messages.
+// Package peer implements the control protocols between VMs. Over drpc VMs
+// exchange membership entries, tables and changes to the inventory, and a VM
+// that starts copies weights; schema/peer.proto defines these messages. Short
+// updates are sent as UDP datagrams.
 //
 // # Usage
 //
-//	srv := peer.NewServer(source)
+//	srv := peer.NewServer(table, changes, rows)
 //	go srv.Serve(ctx, listener)
 //
 //	c := peer.NewClient()
-//	n, err := c.Exchange(ctx, addr, table, "ro-nord-1")
+//	err := c.Exchange(ctx, addr, table, "ro-nord-1", scope)
 package peer
--- a/io/peer/replica.go
+++ b/io/peer/replica.go
@@ -19,37 +19,37 @@
 	"auburnlatch/schema"
 )
 
-// Replicas are a VM's copies of tables, by name.
+// Replicas are a VM's replicas of tables, by name.
 type Replicas map[string]*replica.Table
 
-// freshBy is how much later a confirmation must be to be worth a message of
-// its own.
-const freshBy = 200 * time.Millisecond
+// minAgeGain is how much more recent a confirmation must be to be sent without
+// changes.
+const minAgeGain = 200 * time.Millisecond
 
-// scope is that of exchanges with a VM of a zone, "" where its zone is not that of the
-// members or is not known.
+// scope returns the scope of exchanges with a VM of a zone, which is "" if the two VMs are
+// in different zones or the zone is unknown.
 func scope(zone string) member.Scope { return member.Scope{Zone: zone, Global: true} }
 
-// heads returns how far the copies are.
+// heads returns the versions and ages of the replicas.
 func (r Replicas) heads(now time.Time) map[string]replica.Head {
 	heads := make(map[string]replica.Head, len(r))
 	for name, t := range r {
 		h := t.Head(now)
-		h.VerifiedAge = sureAge(t)
+		h.VerifiedAge = verifiedAge(t)
 		heads[name] = h
 	}
 	return heads
 }
 
-// sureAge is how long ago the copy certainly was the newest.
-func sureAge(t *replica.Table) time.Duration {
+// verifiedAge returns how long ago the replica was verified to be the newest version.
+func verifiedAge(t *replica.Table) time.Duration {
 	asOf, _ := t.VerifiedAsOf()
 	return asOf.Age(clock.Boot())
 }
 
-// renew takes in how far the copies were of a VM that was asked at a moment. Only an answer
-// does that: what a VM hands over unasked may have been on its way for any time.
-func (r Replicas) renew(asked lease.Moment, theirs map[string]replica.Head) {
+// confirm merges the heads of a VM that were requested at a moment. Only a reply confirms a
+// replica: a message sent without a request may have been delayed for any time.
+func (r Replicas) confirm(asked lease.Moment, theirs map[string]replica.Head) {
 	for name, h := range theirs {
 		if t := r[name]; t != nil {
 			t.Renew(h.Version, lease.AsOf(asked, h.VerifiedAge))
@@ -57,8 +57,9 @@
 	}
 }
 
-// deltas returns what copies at theirs lack. A copy that is up to date is still
-// told how lately the platform confirmed it.
+// deltas returns what replicas with the heads theirs lack. A replica of the same
+// version gets an empty delta if this one was confirmed by the platform more
+// recently.
 func (r Replicas) deltas(now time.Time, theirs map[string]replica.Head) []replica.Delta {
 	var list []replica.Delta
 	for name, t := range r {
@@ -66,7 +67,7 @@
 		if own.Version < their.Version || own.Age == replica.NeverConfirmed {
 			continue
 		}
-		if own.Version == their.Version && own.Age+freshBy > their.Age {
+		if own.Version == their.Version && own.Age+minAgeGain > their.Age {
 			continue
 		}
 		list = append(list, t.Since(now, their.Version))
@@ -74,7 +75,7 @@
 	return list
 }
 
-// apply takes in deltas and reports whether any copy changed.
+// apply applies deltas and reports whether any replica changed.
 func (r Replicas) apply(now time.Time, list []replica.Delta) (changed bool) {
 	for _, d := range list {
 		if t := r[d.To.Table]; t != nil {
@@ -84,10 +85,10 @@
 	return changed
 }
 
-// Sync brings the members and copies of this VM and of that at addr level. It
-// reports whether a copy of this VM changed. zone is that of both VMs, or "". Without
-// members (nil) only the copies are brought level: these are asked about more often than
-// members.
+// Sync synchronizes the members and replicas of this VM with those of the VM at addr, in
+// both directions. It reports whether a replica of this VM changed. zone is the zone of both
+// VMs, or "". If members is nil, only the replicas are synchronized, as is done more often
+// than for members.
 func (c *Client) Sync(ctx context.Context, addr, zone string, members *member.Table, replicas Replicas) (changed bool, err error) {
 	err = c.callConn(ctx, addr, func(ctx context.Context, conn drpc.Conn) error {
 		client := schema.NewDRPCReplicaClient(conn)
@@ -97,7 +98,7 @@
 			ask.Zone, ask.Sums = zone, wire.FromZoneSums(members.Sums())
 			ask.Stamps = wire.FromStamps(members.Digest(now, scope(zone)))
 		}
-		c.countAsk(ask)
+		c.countRequest(ask)
 		reply, err := client.Sync(ctx, ask)
 		if err != nil {
 			return err
@@ -108,13 +109,13 @@
 		}
 		now = time.Now()
 		changed = replicas.apply(now, tables)
-		replicas.renew(asked, wire.Heads(reply.GetHeads()))
+		replicas.confirm(asked, wire.Heads(reply.GetHeads()))
 		back := &schema.SyncReply{
 			Delta:  &schema.Delta{},
 			Tables: c.packer.FromReplicaDeltas(replicas.deltas(now, wire.Heads(reply.GetHeads()))),
 		}
 		if members != nil {
-			back.Delta.Entries, err = c.levelMembers(ctx, client, members, zone, reply)
+			back.Delta.Entries, err = c.syncMembers(ctx, client, members, zone, reply)
 			if err != nil {
 				return err
 			}
@@ -129,9 +130,9 @@
 	return changed, err
 }
 
-// levelMembers takes in what an answer tells of members, asks for what differs in other
-// zones, and returns what the answering VM lacks.
-func (c *Client) levelMembers(ctx context.Context, client schema.DRPCReplicaClient, members *member.Table, zone string, reply *schema.SyncReply) ([]*schema.Entry, error) {
+// syncMembers merges the members in a reply, requests those of other zones that differ,
+// and returns the entries that the replying VM lacks.
+func (c *Client) syncMembers(ctx context.Context, client schema.DRPCReplicaClient, members *member.Table, zone string, reply *schema.SyncReply) ([]*schema.Entry, error) {
 	delta, err := wire.Delta(reply.GetDelta())
 	if err != nil {
 		return nil, err
@@ -155,8 +156,8 @@
 	return wire.FromEntries(wanted), nil
 }
 
-// HandTables hands changes of tables to the VM at addr, which takes those that
-// join on to its copies.
+// PushTables sends table deltas to the VM at addr, which applies those that start at
+// the version of its replica.
 func (c *Client) HandTables(ctx context.Context, addr string, deltas []replica.Delta) error {
 	return c.callConn(ctx, addr, func(ctx context.Context, conn drpc.Conn) error {
 		m := &schema.SyncReply{Tables: c.packer.FromReplicaDeltas(deltas)}
@@ -166,7 +167,7 @@
 	})
 }
 
-// ReplicaServer answers other VMs' exchanges.
+// ReplicaServer serves the members and replicas of a VM to others.
 type ReplicaServer struct {
 	members  *member.Table
 	replicas Replicas
@@ -175,13 +176,13 @@
 	sent     *SentCounter
 }
 
-// NewReplicaServer returns a server of what the VM knows. changed is called
-// after a copy has changed.
+// NewReplicaServer returns a server of members and replicas. changed is called
+// after a replica has changed.
 func NewReplicaServer(members *member.Table, replicas Replicas, changed func(), sent *SentCounter) *ReplicaServer {
 	return &ReplicaServer{members: members, replicas: replicas, changed: changed, sent: sent}
 }
 
-// Serve answers on the listener until ctx ends.
+// Serve serves connections of the listener until ctx is done.
 func (s *ReplicaServer) Serve(ctx context.Context, l net.Listener) error {
 	mux := drpcmux.New()
 	if err := schema.DRPCRegisterReplica(mux, s); err != nil {
@@ -204,7 +205,7 @@
 	if !m.GetTablesOnly() {
 		reply.Delta = wire.FromDelta(s.members.Answer(now, scope(m.GetZone()), stamps))
 		reply.Differing = slices.DeleteFunc(s.members.Differing(wire.ZoneSums(m.GetSums())), func(zone string) bool {
-			return zone == m.GetZone() // Its VMs were compared one by one.
+			return zone == m.GetZone() // The stamps of its VMs were compared one by one.
 		})
 	}
 	s.sent.count(reply)
--- a/io/peer/replica_test.go
+++ b/io/peer/replica_test.go
@@ -11,7 +11,7 @@
 	"auburnlatch/io/peer"
 )
 
-// node is a VM's members and its copy of one table.
+// node is a VM's members and its replica of one table.
 type node struct {
 	members  *member.Table
 	replicas peer.Replicas
@@ -27,7 +27,7 @@
 	return n
 }
 
-// serve answers exchanges for a node and returns its address.
+// serve starts a server for the node and returns its address.
 func (n node) serve(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,10 +40,10 @@
 	return l.Addr().String()
 }
 
-// VMs ask those who read the platform for its tables more often than they tell each
-// other of themselves. Such an exchange must bring the table whichever side has it,
-// and carry no members: with 200 VMs these are 10 KB each time.
-func TestExchangeOfTablesAlone(t *testing.T) {
+// VMs synchronize tables with the readers of the platform more often than they
+// exchange members. Such a sync must transfer the newer table in either direction,
+// and no members: with 200 VMs these are 10 KB each time.
+func TestSyncWithoutMembers(t *testing.T) {
 	row := replica.Row{Key: "k", Version: 3, Value: []byte("v")}
 	for _, tc := range []struct {
 		name          string
@@ -51,8 +51,8 @@
 		wantMembers   int
 		newerIsCaller bool
 	}{
-		{"the answering VM has the newer copy", false, 0, false},
-		{"the asking VM has the newer copy", false, 0, true},
+		{"the server has the newer replica", false, 0, false},
+		{"the client has the newer replica", false, 0, true},
 		{"with members", true, 1, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -70,13 +70,13 @@
 				t.Fatal(err)
 			}
 			if rows, _ := older.replicas["t"].Rows(); len(rows) != 1 || string(rows[0].Value) != "v" {
-				t.Errorf("the older copy has %v", rows)
+				t.Errorf("the older replica has rows %v, want the row of the newer", rows)
 			}
 			if got := len(a.members.Peers(time.Now())); got != tc.wantMembers {
-				t.Errorf("the asking VM knows %d others, want %d", got, tc.wantMembers)
+				t.Errorf("the client has %d peers, want %d", got, tc.wantMembers)
 			}
 			if got := len(b.members.Peers(time.Now())); got != tc.wantMembers {
-				t.Errorf("the answering VM knows %d others, want %d", got, tc.wantMembers)
+				t.Errorf("the server has %d peers, want %d", got, tc.wantMembers)
 			}
 		})
 	}
--- a/io/peer/sent.go
+++ b/io/peer/sent.go
@@ -8,32 +8,32 @@
 	"auburnlatch/schema"
 )
 
-// SentCounter counts the bytes that a VM sends to others, by what they are about. The zero
-// value is ready.
+// SentCounter counts the bytes that a VM sends to others, by their content. The zero value
+// is ready to use.
 type SentCounter struct {
-	// Members are digests and entries of VMs, Tables heads and rows of copies.
+	// Members counts digests and entries of members, Tables heads and rows of replicas.
 	Members, Tables atomic.Int64
-	// Placements, Poison, Demand and Upstreams are datagrams.
+	// Placements, Poison, Demand and Upstreams count datagrams.
 	Placements, Poison, Demand, Upstreams atomic.Int64
 }
 
-// Sent is a SentCounter at one moment.
+// Sent is a snapshot of a SentCounter, in bytes.
 type Sent struct{ Members, Tables, Placements, Poison, Demand, Upstreams int64 }
 
-// Sent returns what was sent so far.
+// Sent returns the numbers of bytes sent so far.
 func (t *SentCounter) Sent() Sent {
 	return Sent{t.Members.Load(), t.Tables.Load(), t.Placements.Load(), t.Poison.Load(), t.Demand.Load(), t.Upstreams.Load()}
 }
 
-// count counts an answer or what is handed over.
+// count adds the size of a reply or pushed message.
 func (t *SentCounter) count(m *schema.SyncReply) {
 	members := proto.Size(m.GetDelta())
 	t.Members.Add(int64(members))
 	t.Tables.Add(int64(proto.Size(m) - members))
 }
 
-// countAsk counts a question.
-func (c *Client) countAsk(m *schema.SyncRequest) {
+// countRequest adds the size of a request.
+func (c *Client) countRequest(m *schema.SyncRequest) {
 	members := proto.Size(m.GetStamps()) + proto.Size(&schema.SyncRequest{Zone: m.GetZone(), Sums: m.GetSums()})
 	c.sent.Members.Add(int64(members))
 	c.sent.Tables.Add(int64(proto.Size(m) - members))
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -16,15 +16,15 @@
 	"auburnlatch/schema"
 )
 
-// Register gives out changes to the inventory.
+// ChangeLog provides the inventory and its recent changes.
 type Register interface {
-	// ChangesAfter returns the changes after a version, oldest first, and
-	// false where they are no longer kept.
+	// ChangesAfter returns the changes after a version, oldest first, or
+	// false if they are no longer kept.
 	ChangesAfter(version uint64) ([]inventory.Change, bool)
 	Inventory() *inventory.Inventory
 }
 
-// Server answers other VMs.
+// Server serves membership entries, inventory changes and weights to other VMs.
 type Server struct {
 	table    *member.Table
 	register Register
@@ -33,12 +33,12 @@
 	bytesOut atomic.Int64
 }
 
-// NewServer returns a server of what the VM knows.
+// NewServer returns a server of a VM's table, inventory changes and weights.
 func NewServer(table *member.Table, register Register, rows *steer.Rows) *Server {
 	return &Server{table: table, register: register, rows: rows}
 }
 
-// Serve answers on the listener until ctx ends.
+// Serve serves connections of the listener until ctx is done.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	mux := drpcmux.New()
 	if err := schema.DRPCRegisterPeer(mux, s); err != nil {
@@ -47,7 +47,7 @@
 	return drpcserver.New(mux).Serve(ctx, countingListener{l, s})
 }
 
-// Traffic returns how many bytes were read and written so far.
+// Traffic returns the number of bytes read and written so far.
 func (s *Server) Traffic() (in, out int64) { return s.bytesIn.Load(), s.bytesOut.Load() }
 
 // Exchange implements schema.DRPCPeerServer.
@@ -102,7 +102,7 @@
 	return reply, nil
 }
 
-// countingListener counts the bytes of control connections.
+// countingListener counts the bytes of the connections that it accepts.
 type countingListener struct {
 	net.Listener
 	server *Server
@@ -117,7 +117,7 @@
 	return &countingConn{Conn: conn, in: &l.server.bytesIn, out: &l.server.bytesOut}, nil
 }
 
-// countingConn counts what goes through a connection.
+// countingConn counts the bytes read from and written to a connection.
 type countingConn struct {
 	net.Conn
 	in, out *atomic.Int64
