--- a/io/wire/claim.go
+++ b/io/wire/claim.go
@@ -9,7 +9,7 @@
 	"auburnlatch/schema"
 )
 
-// ClaimRow reads the value of a row of the claims table.
+// ClaimRow decodes the value of a row of the claims table.
 func ClaimRow(value []byte) (claim.Row, error) {
 	m := &schema.ClaimRow{}
 	if err := proto.Unmarshal(value, m); err != nil {
@@ -22,7 +22,7 @@
 	return claim.Row{
 		Attempt: m.GetAttempt(), State: state, Digest: m.GetDigest(),
 		Holder:   claim.Holder{VM: m.GetVm(), Incarnation: m.GetIncarnation()},
-		Deadline: timestamp(m.GetDeadline()), Written: timestamp(m.GetWritten()), Answer: answer(m.GetAnswer()),
+		Deadline: timestamp(m.GetDeadline()), Written: timestamp(m.GetWritten()), Answer: storedAnswer(m.GetAnswer()),
 	}, nil
 }
 
@@ -32,10 +32,10 @@
 			return state, nil
 		}
 	}
-	return claim.Absent, errors.Newf("claim row: %q is no state", s)
+	return claim.Absent, errors.Newf("claim row: unknown state %q", s)
 }
 
-func answer(m *schema.StoredAnswer) *claim.Answer {
+func storedAnswer(m *schema.StoredAnswer) *claim.Answer {
 	if m == nil {
 		return nil
 	}
@@ -46,7 +46,7 @@
 	return a
 }
 
-// FromClaimRow writes the value of a row of the claims table.
+// FromClaimRow encodes the value of a row of the claims table.
 func FromClaimRow(r claim.Row) ([]byte, error) {
 	m := &schema.ClaimRow{
 		Attempt: r.Attempt, State: r.State.String(), Digest: r.Digest, Vm: r.Holder.VM, Incarnation: r.Holder.Incarnation,
--- a/io/wire/demand.go
+++ b/io/wire/demand.go
@@ -7,11 +7,11 @@
 	"auburnlatch/schema"
 )
 
-// rateUnit is how many requests a second one unit of a rate is that travels.
+// rateUnit is the unit of rates on the wire, in requests/s.
 const rateUnit = 1e-3
 
-// Demands maps what is asked of a VM. Of a message whose columns differ in length what
-// belongs together is taken.
+// Demands maps the demands of teams at a VM. If the message's columns differ in length, the
+// rows beyond the shortest column are left out.
 func Demands(m *schema.TeamDemand) []ratelimit.Demand {
 	rates, sent := m.GetRates(), m.GetSent()
 	list := make([]ratelimit.Demand, 0, len(rates))
@@ -24,7 +24,7 @@
 	return list
 }
 
-// FromDemands maps what is asked of a VM.
+// FromDemands maps the demands of teams at a VM.
 func FromDemands(list []ratelimit.Demand, ask, more bool) *schema.TeamDemand {
 	m := &schema.TeamDemand{Ask: ask, More: more}
 	for _, d := range list {
@@ -35,12 +35,12 @@
 	return m
 }
 
-// Total maps what is asked of all VMs.
+// Total maps the demands of teams at all VMs.
 func Total(m *schema.TeamDemand) ratelimit.Total {
 	return ratelimit.Total{Demands: Demands(m), Heard: int(m.GetHeard()), Silent: float64(m.GetSilent())}
 }
 
-// FromTotal maps what is asked of all VMs.
+// FromTotal maps the demands of teams at all VMs.
 func FromTotal(t ratelimit.Total) *schema.TeamDemand {
 	m := FromDemands(t.Demands, false, false)
 	m.Heard, m.Silent = uint32(max(0, t.Heard)), float32(t.Silent)
--- a/io/wire/doc.go
+++ b/io/wire/doc.go
@@ -1,11 +1,10 @@
-// Package wire maps between the generated types of package schema and the
-// types of the core packages, by hand and in both directions, so that core
-// knows no wire format.
+// Package wire converts between the generated types of package schema and the
+// types of the core packages, so that core does not depend on a wire format.
 //
 // # Usage
 //
-//	inv, err := wire.Inventory(msg)     // schema to core; the error names the field.
-//	msg := wire.FromInventory(inv)      // core to schema; cannot fail.
+//	inv, err := wire.Inventory(msg)     // From schema to core; an error names the field.
+//	msg := wire.FromInventory(inv)      // From core to schema; cannot fail.
 package wire
 
 import (
@@ -15,7 +14,7 @@
 	"google.golang.org/protobuf/types/known/timestamppb"
 )
 
-// DurationOr returns d, or def where it is absent.
+// DurationOr returns d, or def if d is nil.
 func DurationOr(d *durationpb.Duration, def time.Duration) time.Duration {
 	if d == nil {
 		return def
@@ -23,7 +22,7 @@
 	return d.AsDuration()
 }
 
-// timestamp returns t, or the zero time where it is absent.
+// timestamp returns t, or the zero time if t is nil.
 func timestamp(t *timestamppb.Timestamp) time.Time {
 	if t == nil {
 		return time.Time{}
@@ -31,7 +30,7 @@
 	return t.AsTime()
 }
 
-// FromTime returns t on the wire, absent where it is zero.
+// FromTime maps a time; the zero time becomes nil.
 func FromTime(t time.Time) *timestamppb.Timestamp {
 	if t.IsZero() {
 		return nil
--- a/io/wire/fuzz_test.go
+++ b/io/wire/fuzz_test.go
@@ -12,7 +12,7 @@
 	"auburnlatch/schema"
 )
 
-// exchanged returns what a VM answers in an exchange.
+// exchanged returns an encoded reply of a VM in an exchange.
 func exchanged(t testing.TB) []byte {
 	t.Helper()
 	now := start
@@ -30,9 +30,9 @@
 	return data
 }
 
-// A VM of another version, or who is none, answers an exchange. Whatever it sends is
-// refused with an error or taken in; the VM that asked goes on, and its own entry stays
-// its own.
+// A VM of another version, or a process that is not a VM, replies in an exchange. Any
+// reply must be merged or rejected with an error, without a crash, and must not replace
+// the receiving VM's own entry.
 func FuzzExchange(f *testing.F) {
 	good := exchanged(f)
 	f.Add(good)
@@ -65,9 +65,8 @@
 	})
 }
 
-// Anyone who can send a datagram to a VM can form one of placements. It may cost
-// objects their places, which are looked for anew; it must not end the process or name
-// a target that the VM does not know.
+// Any host that can send a datagram to a VM can forge placements. They may make the VM
+// place objects again, but must not crash it or make it use an unknown target.
 func FuzzDatagram(f *testing.F) {
 	good, err := proto.Marshal(&schema.Datagram{Placements: wire.FromPlacements([]balance.Placement{
 		{Service: "s", Route: "r", Object: 7, Target: "i-1", Born: 3, Version: 1, Made: 5},
@@ -86,7 +85,7 @@
 		b.MergePlacements(start, wire.Placements(m.GetPlacements()))
 		b.SetSynced()
 		if lease, err := b.Choose(start, balance.Request{Service: "s", Route: "r", Key: "k"}); err == nil {
-			t.Errorf("without targets a request goes to %+v", lease.Target)
+			t.Errorf("a request without targets was sent to %+v", lease.Target)
 		}
 	})
 }
--- a/io/wire/inventory.go
+++ b/io/wire/inventory.go
@@ -11,7 +11,7 @@
 	"auburnlatch/schema"
 )
 
-// Defaults of a service's rules.
+// Defaults of a service's settings.
 const (
 	defaultTimeout      = 30 * time.Second
 	defaultMaxQueueWait = 500 * time.Millisecond
@@ -20,8 +20,8 @@
 
 var defaultIdempotent = []string{"GET", "HEAD", "OPTIONS"}
 
-// Inventory maps a whole inventory. Of two items of one kind and name it
-// returns an error, as one of them would be lost.
+// Inventory maps an inventory. It returns an error if two items have the same
+// kind and name, as one of them would be lost.
 func Inventory(m *schema.Inventory) (*inventory.Inventory, error) {
 	var ops []inventory.Op
 	for _, r := range m.GetRegions() {
@@ -126,7 +126,7 @@
 	return &inventory.Drain{Kind: inventory.Kind(m.GetKind()), Name: m.GetName()}
 }
 
-// FromInventory maps a whole inventory.
+// FromInventory maps an inventory.
 func FromInventory(inv *inventory.Inventory) *schema.Inventory {
 	m := &schema.Inventory{Version: inv.Version}
 	for _, r := range inv.Regions {
@@ -192,7 +192,7 @@
 	return &schema.Drain{Kind: string(d.Kind), Name: d.Name}
 }
 
-// Change maps a change.
+// Change maps a change of the inventory.
 func Change(m *schema.Change) (inventory.Change, error) {
 	c := inventory.Change{ID: m.GetId(), Based: m.GetBased(), Author: m.GetAuthor(), At: timestamp(m.GetAt())}
 	for _, step := range m.GetOps() {
@@ -225,11 +225,11 @@
 	case *schema.Op_Remove:
 		return inventory.Op{Remove: &inventory.Remove{Kind: inventory.Kind(k.Remove.GetKind()), Name: k.Remove.GetName()}}, nil
 	default:
-		return inventory.Op{}, errors.New("a step of the change is empty or of a kind this version does not know")
+		return inventory.Op{}, errors.New("an operation of the change is empty or of a kind unknown to this version")
 	}
 }
 
-// FromChange maps a change.
+// FromChange maps a change of the inventory.
 func FromChange(c inventory.Change) *schema.Change {
 	m := &schema.Change{Id: c.ID, Based: c.Based, Author: c.Author, At: FromTime(c.At)}
 	for _, op := range c.Ops {
--- a/io/wire/member.go
+++ b/io/wire/member.go
@@ -11,10 +11,11 @@
 	"auburnlatch/schema"
 )
 
-// tenth is the unit of ages on the wire.
-const tenth = 100 * time.Millisecond
+// ageUnit is the unit of the ages of stamps on the wire.
+const ageUnit = 100 * time.Millisecond
 
-// Stamps maps the stamps of a digest. Columns of unequal length give an error.
+// Stamps maps the stamps of a digest. It returns an error if the columns differ in
+// length.
 func Stamps(m *schema.Stamps) ([]member.Stamp, error) {
 	n := len(m.GetKeys())
 	if len(m.GetIncarnations()) != n || len(m.GetSeqs()) != n || len(m.GetBeats()) != n || len(m.GetAgesTenths()) != n {
@@ -24,7 +25,7 @@
 	for i := range out {
 		out[i] = member.Stamp{
 			Key: member.Key(m.Keys[i]), Incarnation: m.Incarnations[i], Seq: m.Seqs[i], Beat: m.Beats[i],
-			Age: time.Duration(m.AgesTenths[i]) * tenth,
+			Age: time.Duration(m.AgesTenths[i]) * ageUnit,
 		}
 	}
 	return out, nil
@@ -38,7 +39,7 @@
 		m.Incarnations = append(m.Incarnations, s.Incarnation)
 		m.Seqs = append(m.Seqs, s.Seq)
 		m.Beats = append(m.Beats, s.Beat)
-		m.AgesTenths = append(m.AgesTenths, uint32(s.Age/tenth))
+		m.AgesTenths = append(m.AgesTenths, uint32(s.Age/ageUnit))
 	}
 	return m
 }
@@ -60,7 +61,7 @@
 	return out
 }
 
-// Delta maps the answer to a digest.
+// Delta maps the reply to a digest.
 func Delta(m *schema.Delta) (member.Delta, error) {
 	entries, err := Entries(m.GetEntries())
 	if err != nil {
@@ -70,12 +71,12 @@
 	return member.Delta{Entries: entries, Beats: beats, Want: Keys(m.GetWant())}, err
 }
 
-// FromDelta maps the answer to a digest.
+// FromDelta maps the reply to a digest.
 func FromDelta(d member.Delta) *schema.Delta {
 	return &schema.Delta{Entries: FromEntries(d.Entries), Beats: FromStamps(d.Beats), Want: fromKeys(d.Want)}
 }
 
-// Entries maps entries; one of a kind this version does not know is left out.
+// Entries maps entries. Those of a kind unknown to this version are left out.
 func Entries(list []*schema.Entry) ([]member.Entry, error) {
 	out := make([]member.Entry, 0, len(list))
 	for _, m := range list {
@@ -173,11 +174,11 @@
 	for target, slots := range vm.Held {
 		m.Held = append(m.Held, &schema.Held{Target: target, Slots: int32(slots)})
 	}
-	for mate, seq := range vm.Acks {
-		m.Acks = append(m.Acks, &schema.MateAck{Vm: mate, Seq: seq})
+	for vmName, seq := range vm.Acks {
+		m.Acks = append(m.Acks, &schema.MateAck{Vm: vmName, Seq: seq})
 	}
-	for mate, incarnation := range vm.Gone {
-		m.Gone = append(m.Gone, &schema.MateAck{Vm: mate, Seq: incarnation})
+	for vmName, incarnation := range vm.Gone {
+		m.Gone = append(m.Gone, &schema.MateAck{Vm: vmName, Seq: incarnation})
 	}
 	for target, state := range vm.Health {
 		m.Health = append(m.Health, &schema.Health{Target: target, State: state})
@@ -257,7 +258,7 @@
 	}
 }
 
-// report maps a report, its keys put in order.
+// report maps a report and sorts its keys.
 func report(m *schema.ZoneReport) *member.Report {
 	silent := Keys(m.GetSilent())
 	slices.Sort(silent)
@@ -268,7 +269,7 @@
 	return &schema.ZoneReport{Zone: r.Zone, Vm: r.VM, Silent: fromKeys(r.Silent)}
 }
 
-// ZoneSums maps what stands for zones' VMs.
+// ZoneSums maps the hashes of zones' members.
 func ZoneSums(list []*schema.ZoneSum) []member.ZoneSum {
 	out := make([]member.ZoneSum, 0, len(list))
 	for _, m := range list {
@@ -277,7 +278,7 @@
 	return out
 }
 
-// FromZoneSums maps what stands for zones' VMs.
+// FromZoneSums maps the hashes of zones' members.
 func FromZoneSums(list []member.ZoneSum) []*schema.ZoneSum {
 	out := make([]*schema.ZoneSum, 0, len(list))
 	for _, s := range list {
@@ -286,7 +287,7 @@
 	return out
 }
 
-// FromTarget maps one upstream's state for people.
+// FromTarget maps the state of a target for the operator's dump.
 func FromTarget(t dispatch.TargetState) *schema.TargetDump {
 	return &schema.TargetDump{
 		Target: t.Target, Service: t.Service, Slots: int32(t.Slots), InForce: int32(t.InForce), Intent: int32(t.Intent),
--- a/io/wire/placement.go
+++ b/io/wire/placement.go
@@ -8,7 +8,7 @@
 	"auburnlatch/schema"
 )
 
-// Placements maps where objects belong.
+// Placements maps the placements of objects.
 func Placements(list []*schema.Placement) []balance.Placement {
 	out := make([]balance.Placement, 0, len(list))
 	for _, m := range list {
@@ -20,7 +20,7 @@
 	return out
 }
 
-// FromPlacements maps where objects belong.
+// FromPlacements maps the placements of objects.
 func FromPlacements(list []balance.Placement) []*schema.Placement {
 	out := make([]*schema.Placement, 0, len(list))
 	for _, p := range list {
@@ -32,17 +32,17 @@
 	return out
 }
 
-// maxKept is how many placements are kept on the platform, at 10 bytes each: below
-// the 64 KB that a row of its holds.
-const maxKept = 5000
+// maxPersistedPlacements is how many placements are persisted. At 10 bytes each they stay
+// below 64 KB, the maximum size of a row of the platform's table.
+const maxPersistedPlacements = 5000
 
-// PackPlacements packs where objects belong for the platform's table.
+// PackPlacements encodes placements for a row of the platform's table.
 func PackPlacements(list []balance.Placement) ([]byte, error) {
 	type name struct{ service, route string }
 	pages := make(map[name]*schema.PlacementPage)
 	targets := make(map[name]map[string]uint32)
 	var book schema.PlacementBook
-	for _, p := range list[:min(maxKept, len(list))] {
+	for _, p := range list[:min(maxPersistedPlacements, len(list))] {
 		key := name{p.Service, p.Route}
 		page := pages[key]
 		if page == nil {
@@ -61,7 +61,8 @@
 	return proto.Marshal(&book)
 }
 
-// UnpackPlacements is the reverse. An error says that the data is spoilt.
+// UnpackPlacements decodes the result of PackPlacements. It returns an error if the
+// data is corrupt.
 func UnpackPlacements(data []byte) ([]balance.Placement, error) {
 	var book schema.PlacementBook
 	if err := proto.Unmarshal(data, &book); err != nil {
@@ -70,12 +71,12 @@
 	var list []balance.Placement
 	for _, page := range book.GetPages() {
 		if len(page.At) != len(page.Objects) || len(page.Versions) != len(page.Objects) || len(page.Borns) != len(page.Targets) {
-			return nil, errors.New("placements: columns of unequal length")
+			return nil, errors.New("placements: the columns differ in length")
 		}
 		for i, object := range page.Objects {
 			at := page.At[i]
 			if int(at) >= len(page.Targets) {
-				return nil, errors.New("placements: no such target")
+				return nil, errors.New("placements: target index out of range")
 			}
 			list = append(list, balance.Placement{
 				Service: page.Service, Route: page.Route, Object: object,
--- a/io/wire/placement_test.go
+++ b/io/wire/placement_test.go
@@ -26,19 +26,18 @@
 	}
 	for _, p := range placements {
 		if !slices.Contains(got, p) {
-			t.Errorf("%+v is missing in %+v", p, got)
+			t.Errorf("%+v is missing from %+v", p, got)
 		}
 	}
 	if len(got) != len(placements) {
 		t.Errorf("%d placements, want %d", len(got), len(placements))
 	}
 	if none, err := wire.UnpackPlacements(nil); err != nil || len(none) != 0 {
-		t.Errorf("of nothing: %v, %v", none, err)
+		t.Errorf("UnpackPlacements(nil) = %v, %v, want no placements", none, err)
 	}
 }
 
-// FuzzUnpackPlacements holds that whatever stands in the platform's row is unpacked
-// or refused.
+// Any content of the platform's row must be decoded or rejected with an error.
 func FuzzUnpackPlacements(f *testing.F) {
 	data, err := wire.PackPlacements(placements)
 	if err != nil {
@@ -49,7 +48,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		list, err := wire.UnpackPlacements(data)
 		if err != nil && len(list) > 0 {
-			t.Errorf("%d placements of spoilt data", len(list))
+			t.Errorf("%d placements from corrupt data", len(list))
 		}
 	})
 }
--- a/io/wire/poison.go
+++ b/io/wire/poison.go
@@ -7,17 +7,17 @@
 	"auburnlatch/schema"
 )
 
-// maxAgo bounds how long ago a run may be said to have ended: what is older counts for
-// nothing any more.
-const maxAgo = 24 * time.Hour
+// maxRunAge is the greatest age of a received run or clearance; older ones are taken for this
+// old. Records of that age have no effect.
+const maxRunAge = 24 * time.Hour
 
-// Poison maps what a VM tells of requests under which upstreams end; now is when it
-// arrived. What names no request is left out.
+// Poison maps a VM's update on requests that crash upstreams; now is when it was received.
+// Records without a valid fingerprint are left out.
 func Poison(now time.Time, m *schema.PoisonNews) poison.News {
 	n := poison.News{Bans: bans(m.GetBans()), Kept: bans(m.GetKept())}
 	for _, r := range m.GetRuns() {
 		p, ok := poison.PrintFromBytes(r.GetPrint())
-		began, ended := ago(r.GetBeganAgoMillis()), ago(r.GetEndedAgoMillis())
+		began, ended := clampAge(r.GetBeganAgoMillis()), clampAge(r.GetEndedAgoMillis())
 		if !ok || r.GetTarget() == "" || began < ended {
 			continue
 		}
@@ -30,14 +30,14 @@
 	}
 	for _, c := range m.GetServed() {
 		if p, ok := poison.PrintFromBytes(c.GetPrint()); ok {
-			n.Served = append(n.Served, poison.Clearance{Print: p, Began: now.Add(-ago(c.GetBeganAgoMillis())), Answered: now.Add(-ago(c.GetAnsweredAgoMillis()))})
+			n.Served = append(n.Served, poison.Clearance{Print: p, Began: now.Add(-clampAge(c.GetBeganAgoMillis())), Answered: now.Add(-clampAge(c.GetAnsweredAgoMillis()))})
 		}
 	}
 	return n
 }
 
-func ago(ms int64) time.Duration {
-	return min(maxAgo, time.Duration(min(max(0, ms), maxAgo.Milliseconds()))*time.Millisecond)
+func clampAge(ms int64) time.Duration {
+	return min(maxRunAge, time.Duration(min(max(0, ms), maxRunAge.Milliseconds()))*time.Millisecond)
 }
 
 func bans(list []*schema.PoisonBan) []poison.Ban {
@@ -50,7 +50,7 @@
 	return out
 }
 
-// FromPoison maps what this VM tells; now is when it is sent.
+// FromPoison maps an update on requests that crash upstreams; now is when it is sent.
 func FromPoison(now time.Time, n poison.News) *schema.PoisonNews {
 	m := &schema.PoisonNews{Bans: fromBans(n.Bans), Kept: fromBans(n.Kept)}
 	for _, r := range n.Runs {
--- a/io/wire/poison_test.go
+++ b/io/wire/poison_test.go
@@ -14,8 +14,8 @@
 
 func poisonPrint(uri string) poison.Print { return (&poison.Content{URI: uri}).Print() }
 
-// Clocks of VMs differ, so runs travel by how long ago they were.
-func TestPoisonTravels(t *testing.T) {
+// The clocks of VMs differ, so times of runs are sent as ages.
+func TestPoisonNewsRoundTrip(t *testing.T) {
 	sent, arrived := start, start.Add(time.Hour) // By the receiver's clock.
 	ban := poison.Ban{Print: poisonPrint("/b"), At: 1234, Lifted: true}
 	news := poison.News{
@@ -27,12 +27,12 @@
 	news.Runs[0].Began, news.Runs[0].Ended = arrived.Add(-300*time.Millisecond), arrived.Add(-100*time.Millisecond)
 	news.Served[0].Began, news.Served[0].Answered = arrived.Add(-200*time.Millisecond), arrived.Add(-150*time.Millisecond)
 	if !reflect.DeepEqual(got, news) {
-		t.Errorf("%+v arrived, want %+v", got, news)
+		t.Errorf("received %+v, want %+v", got, news)
 	}
 }
 
-// Anyone who can send a datagram to a VM can form one of ends and bans. It may not end
-// the process, nor have the VM believe in a ban that never ends.
+// Any host that can send a datagram to a VM can forge crashes and bans. They must not crash
+// the VM, nor give it a ban that does not expire.
 func FuzzPoison(f *testing.F) {
 	good, err := proto.Marshal(wire.FromPoison(start, poison.News{
 		Runs: []poison.Run{{Print: poisonPrint("/a"), Target: "i-1", Began: start, Ended: start}},
--- a/io/wire/replica.go
+++ b/io/wire/replica.go
@@ -13,7 +13,7 @@
 	"auburnlatch/schema"
 )
 
-// Heads maps how far copies are, by the table's name.
+// Heads maps the heads of replicas, by the table's name.
 func Heads(list []*schema.ReplicaHead) map[string]replica.Head {
 	heads := make(map[string]replica.Head, len(list))
 	for _, m := range list {
@@ -24,20 +24,20 @@
 
 func head(m *schema.ReplicaHead) replica.Head {
 	return replica.Head{
-		Table: m.GetTable(), Version: m.GetVersion(), Age: time.Duration(m.GetAgeMillis()) * time.Millisecond, VerifiedAge: sureAge(m.GetSureAgeMillis()),
+		Table: m.GetTable(), Version: m.GetVersion(), Age: time.Duration(m.GetAgeMillis()) * time.Millisecond, VerifiedAge: verifiedAge(m.GetSureAgeMillis()),
 	}
 }
 
-// sureAge maps an age in milliseconds; without one, or with one that is out of range,
-// nothing is sure.
-func sureAge(millis int64) time.Duration {
+// verifiedAge maps the age of a verification in milliseconds. An age that is absent or out of
+// range means that the replica was never verified.
+func verifiedAge(millis int64) time.Duration {
 	if millis <= 0 || millis >= lease.Never.Milliseconds() {
 		return lease.Never
 	}
 	return time.Duration(millis) * time.Millisecond
 }
 
-// FromHeads maps how far copies are.
+// FromHeads maps the heads of replicas.
 func FromHeads(heads map[string]replica.Head) []*schema.ReplicaHead {
 	list := make([]*schema.ReplicaHead, 0, len(heads))
 	for _, h := range heads {
@@ -54,7 +54,7 @@
 	return m
 }
 
-// ReplicaDeltas maps what copies lack. An error says that a row is spoilt.
+// ReplicaDeltas maps deltas of tables. It returns an error if a row is corrupt.
 func ReplicaDeltas(list []*schema.ReplicaDelta) ([]replica.Delta, error) {
 	out := make([]replica.Delta, 0, len(list))
 	for _, m := range list {
@@ -77,7 +77,7 @@
 	return out, nil
 }
 
-// FromReplicaDeltas maps what copies lack.
+// FromReplicaDeltas maps deltas of tables.
 func FromReplicaDeltas(list []replica.Delta) []*schema.ReplicaDelta {
 	out := make([]*schema.ReplicaDelta, 0, len(list))
 	for _, d := range list {
@@ -98,39 +98,40 @@
 	return out
 }
 
-// packRows is how many rows a delta has that travels packed: below it the rows fit a few
-// packets.
-const packRows = 16
+// minPackedRows is the number of rows from which on a delta is sent packed. Fewer rows fit
+// into a few packets.
+const minPackedRows = 16
 
-// maxPacked is how many deltas of one state of a table are kept packed.
-const maxPacked = 16
+// maxPackedDeltas is how many packed deltas are cached per version of a table.
+const maxPackedDeltas = 16
 
-// TablePacker maps deltas of many rows so that they travel packed, and keeps what it has
-// packed: where all VMs start at once, or hundreds of upstreams register, scores of them ask
-// one VM for the same rows. 900 upstreams are 225 KB, of which 60 copies take a link of
-// 20 Mbit/s five seconds, longer than those who ask wait; packed they are a tenth. The zero
-// value is ready, for the deltas of one VM's copies. It is safe for concurrent use.
+// TablePacker maps deltas, compresses ("packs") those of many rows, and caches the packed
+// rows: when all VMs start at once, or hundreds of upstreams register, scores of VMs request
+// the same rows from one VM. 900 upstreams are 225 KB, of which 60 copies take five seconds
+// on a link of 20 Mbit/s, longer than the clients' timeout; packed they are a tenth of that.
+// A TablePacker serves the replicas of one VM. The zero value is ready to use. It is safe for
+// concurrent use.
 type TablePacker struct {
 	mu     sync.Mutex
 	tables map[string]packedTable
 }
 
-// packedTable has deltas of a table as of a number of changes.
+// packedTable caches packed deltas of a table in the state after a number of changes.
 type packedTable struct {
 	changes uint64
 	rows    map[packedKey][]byte
 }
 
-// packedKey tells the deltas of one state of a table apart: one that is not whole has all
-// rows from a version on. Removals that are forgotten meanwhile are no change, and leave
-// fewer rows.
+// packedKey identifies a delta of a table in one state. A delta that is not whole has all
+// rows from a version on. The number of rows is part of the key, as the expiry of removals
+// reduces it without counting as a change.
 type packedKey struct {
 	whole  bool
 	oldest uint64
 	rows   int
 }
 
-func keyOfDelta(d replica.Delta) packedKey {
+func newPackedKey(d replica.Delta) packedKey {
 	key := packedKey{whole: d.Whole, oldest: math.MaxUint64, rows: len(d.Rows)}
 	for _, r := range d.Rows {
 		key.oldest = min(key.oldest, r.Version)
@@ -138,11 +139,12 @@
 	return key
 }
 
-// FromReplicaDeltas is the function of that name, with deltas of many rows packed.
+// FromReplicaDeltas maps deltas of tables like the function of that name, and packs those
+// of many rows.
 func (p *TablePacker) FromReplicaDeltas(list []replica.Delta) []*schema.ReplicaDelta {
 	out := FromReplicaDeltas(list)
 	for i, d := range list {
-		if len(d.Rows) < packRows {
+		if len(d.Rows) < minPackedRows {
 			continue
 		}
 		if packed := p.pack(d, out[i].Rows); packed != nil {
@@ -155,14 +157,14 @@
 func (p *TablePacker) pack(d replica.Delta, rows []*schema.ReplicaRow) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	key := keyOfDelta(d)
+	key := newPackedKey(d)
 	t, ok := p.tables[d.To.Table]
 	if known := t.rows[key]; ok && t.changes == d.Changes && known != nil {
 		return known
 	}
 	data, err := proto.Marshal(&schema.ReplicaDelta{Rows: rows})
 	if err != nil {
-		return nil // Only a key that is not UTF-8 does that: the rows then travel as they are.
+		return nil // Only a key that is not UTF-8 fails; the rows are then sent unpacked.
 	}
 	packed := replica.Pack(data)
 	if packed == nil {
@@ -171,7 +173,7 @@
 	if p.tables == nil {
 		p.tables = make(map[string]packedTable)
 	}
-	if !ok || t.changes != d.Changes || len(t.rows) >= maxPacked {
+	if !ok || t.changes != d.Changes || len(t.rows) >= maxPackedDeltas {
 		t = packedTable{changes: d.Changes, rows: make(map[packedKey][]byte)}
 		p.tables[d.To.Table] = t
 	}
@@ -179,7 +181,7 @@
 	return packed
 }
 
-// unpackRows returns a delta's rows, packed or not.
+// unpackRows returns a delta's rows, unpacked if necessary.
 func unpackRows(m *schema.ReplicaDelta) ([]*schema.ReplicaRow, error) {
 	if len(m.GetPackedRows()) == 0 {
 		return m.GetRows(), nil
--- a/io/wire/replica_test.go
+++ b/io/wire/replica_test.go
@@ -15,7 +15,7 @@
 
 var start = time.Unix(1000, 0)
 
-// registrations returns a table of n upstreams.
+// registrations returns a table with the registrations of n upstreams.
 func registrations(n int) *replica.Table {
 	t := replica.NewTable("targets", func(_ string, a, b []byte) bool { return string(a) == string(b) })
 	d := replica.Delta{Whole: true, To: replica.Head{Table: "targets", Version: uint64(n)}}
@@ -28,7 +28,7 @@
 	return t
 }
 
-// received is what a VM without a copy has after it was sent a delta.
+// received returns the rows of a VM with an empty replica after it applied the deltas.
 func received(t *testing.T, list []*schema.ReplicaDelta) []replica.Row {
 	t.Helper()
 	deltas, err := wire.ReplicaDeltas(list)
@@ -43,11 +43,11 @@
 	return rows
 }
 
-// All VMs of a large fleet start at once, and 60 of them ask one seed for 900 upstreams,
-// 225 KB each. Over its link of 20 Mbit/s that takes over five seconds; an exchange is
-// given one, so all failed, and the VMs read the platform after all. Packed, all copies
-// go out within the second.
-func TestWholeTablesTravelPacked(t *testing.T) {
+// All VMs of a large fleet start at once, and 60 of them request 900 upstreams, 225 KB,
+// from one seed. Unpacked, that takes its link of 20 Mbit/s over five seconds. An exchange
+// times out after one, so all of them failed and the VMs read the platform instead. Packed,
+// all copies must be sent within one second.
+func TestWholeTablesArePacked(t *testing.T) {
 	const (
 		copies     = 60
 		linkSecond = 20e6 / 8 // Bytes.
@@ -57,45 +57,45 @@
 	var packer wire.TablePacker
 	plain, packed := wire.FromReplicaDeltas(list), packer.FromReplicaDeltas(list)
 	if n := copies * proto.Size(plain[0]); n < 4*linkSecond {
-		t.Errorf("unpacked %d copies are %d bytes, which is no such load", copies, n)
+		t.Errorf("%d unpacked copies are %d bytes, too few for this test", copies, n)
 	}
 	if n := copies * proto.Size(packed[0]); n > linkSecond {
-		t.Errorf("%d copies are %d bytes, more than a link of 20 Mbit/s carries in a second", copies, n)
+		t.Errorf("%d packed copies are %d bytes, more than a link of 20 Mbit/s carries in a second", copies, n)
 	}
 	want, _ := table.Rows()
 	equal := func(a, b replica.Row) bool {
 		return a.Key == b.Key && a.Version == b.Version && string(a.Value) == string(b.Value)
 	}
 	if got := received(t, packed); !slices.EqualFunc(got, want, equal) {
-		t.Errorf("%d rows arrive, want the %d that were sent", len(got), len(want))
+		t.Errorf("received %d rows, want the %d that were sent", len(got), len(want))
 	}
 	table.Apply(start, replica.Delta{From: 900, To: replica.Head{Table: "targets", Version: 901}, Rows: []replica.Row{{Key: "new", Version: 901, Value: []byte("v")}}})
 	if got := received(t, packer.FromReplicaDeltas([]replica.Delta{table.Since(start, 0)})); len(got) != 901 {
-		t.Errorf("after a change %d rows arrive, want 901", len(got))
+		t.Errorf("after a change: received %d rows, want 901", len(got))
 	}
 }
 
-func TestFewRowsTravelAsTheyAre(t *testing.T) {
+func TestFewRowsAreNotPacked(t *testing.T) {
 	var packer wire.TablePacker
 	list := packer.FromReplicaDeltas([]replica.Delta{registrations(3).Since(start, 0)})
 	if len(list[0].Rows) != 3 || list[0].PackedRows != nil {
-		t.Errorf("three rows travel as %d, and %d bytes packed", len(list[0].Rows), len(list[0].PackedRows))
+		t.Errorf("three rows are sent as %d rows and %d packed bytes", len(list[0].Rows), len(list[0].PackedRows))
 	}
 }
 
-// Hundreds of upstreams register, and VMs ask for what they lack from different versions on.
-// A removal among it is forgotten meanwhile. Each gets all rows from its version on: one that
-// was sent what is kept packed for another would miss a row, and never know.
-func TestChangesTravelPacked(t *testing.T) {
+// Hundreds of upstreams register, and VMs request changes after different versions; a removal
+// among them expires meanwhile. Each VM must receive all rows after its version. A VM that got
+// the packed rows cached for another version would miss rows without noticing.
+func TestPackedChangesAreComplete(t *testing.T) {
 	table := registrations(200)
 	table.Apply(start, replica.Delta{From: 200, To: replica.Head{Table: "targets", Version: 201}, Rows: []replica.Row{{Key: "i-0000000000", Version: 201, Removed: true}}})
 	var packer wire.TablePacker
 	for _, from := range []uint64{100, 150, 100, 50} {
-		for _, now := range []time.Time{start, start.Add(time.Hour)} { // By then the removal is forgotten.
+		for _, now := range []time.Time{start, start.Add(time.Hour)} { // The removal has expired at the later time.
 			d := table.Since(now, from)
 			out := packer.FromReplicaDeltas([]replica.Delta{d})
 			if out[0].PackedRows == nil {
-				t.Fatalf("%d rows travel unpacked", len(d.Rows))
+				t.Fatalf("%d rows are sent unpacked", len(d.Rows))
 			}
 			got, err := wire.ReplicaDeltas(out)
 			if err != nil {
@@ -109,25 +109,25 @@
 				return list
 			}
 			if !slices.Equal(versions(got[0].Rows), versions(d.Rows)) {
-				t.Errorf("from %d: %v arrive, want %v", from, versions(got[0].Rows), versions(d.Rows))
+				t.Errorf("after version %d: received rows of versions %v, want %v", from, versions(got[0].Rows), versions(d.Rows))
 			}
 			table.Apply(now, replica.Delta{From: 0, To: replica.Head{Table: "targets", Version: 201}})
 		}
 	}
 }
 
-// A table that was cut or spoilt on its way is refused whole, or a VM would take the
-// upstreams that are missing for gone.
-func TestSpoiltTableIsRefused(t *testing.T) {
+// A table that was truncated or corrupted in transit must be rejected as a whole, or the
+// VM would consider the missing upstreams removed.
+func TestCorruptTableIsRejected(t *testing.T) {
 	var packer wire.TablePacker
 	good := packer.FromReplicaDeltas([]replica.Delta{registrations(100).Since(start, 0)})[0].PackedRows
 	for name, data := range map[string][]byte{
-		"cut":        good[:len(good)/2],
-		"no packing": []byte("no such thing"),
-		"other rows": replica.Pack([]byte("no rows either")),
+		"truncated":  good[:len(good)/2],
+		"not packed": []byte("no such thing"),
+		"not rows":   replica.Pack([]byte("no rows either")),
 	} {
 		if got, err := wire.ReplicaDeltas([]*schema.ReplicaDelta{{Whole: true, PackedRows: data}}); err == nil {
-			t.Errorf("%s: %d deltas and no error", name, len(got))
+			t.Errorf("%s: got %d deltas without an error", name, len(got))
 		}
 	}
 }
--- a/io/wire/report.go
+++ b/io/wire/report.go
@@ -9,7 +9,7 @@
 	"auburnlatch/schema"
 )
 
-// Reports maps what upstreams said of themselves.
+// Reports maps reports of upstreams' own notices.
 func Reports(list []*schema.UpstreamReport) []balance.Report {
 	out := make([]balance.Report, 0, len(list))
 	for _, m := range list {
@@ -24,7 +24,7 @@
 	return out
 }
 
-// FromReports maps what upstreams said of themselves.
+// FromReports maps reports of upstreams' own notices.
 func FromReports(list []balance.Report) []*schema.UpstreamReport {
 	out := make([]*schema.UpstreamReport, 0, len(list))
 	for _, r := range list {
--- a/io/wire/report_test.go
+++ b/io/wire/report_test.go
@@ -11,7 +11,7 @@
 	"auburnlatch/io/wire"
 )
 
-func TestReportsTravel(t *testing.T) {
+func TestReportsRoundTrip(t *testing.T) {
 	list := []balance.Report{
 		{Target: "a", Born: 7, Limit: &throttle.Report{Limited: true, PerSecond: 7.5, Age: 40 * time.Millisecond}},
 		{Target: "b", Limit: &throttle.Report{Age: math.MaxUint32 * time.Millisecond}, Leaving: true},
--- a/io/wire/steer.go
+++ b/io/wire/steer.go
@@ -11,10 +11,10 @@
 	"auburnlatch/schema"
 )
 
-// FromDuration returns d on the wire.
+// FromDuration maps a duration.
 func FromDuration(d time.Duration) *durationpb.Duration { return durationpb.New(d) }
 
-// Weights maps a distribution.
+// Weights maps the weights of zones.
 func Weights(list []*schema.ZoneShare) steer.Weights {
 	w := make(steer.Weights, len(list))
 	for _, s := range list {
@@ -23,7 +23,7 @@
 	return w
 }
 
-// FromWeights maps a distribution, sorted by zone.
+// FromWeights maps the weights of zones, sorted by zone.
 func FromWeights(w steer.Weights) []*schema.ZoneShare {
 	list := make([]*schema.ZoneShare, 0, len(w))
 	for _, zone := range slices.Sorted(maps.Keys(w)) {
@@ -32,7 +32,7 @@
 	return list
 }
 
-// Moves maps a row's past moves from ages to times of this VM's clock.
+// Moves maps a row's past moves, from ages to times of this VM's clock.
 func Moves(now time.Time, list []*schema.PastMove) []steer.Move {
 	var moves []steer.Move
 	for _, m := range list {
@@ -42,7 +42,7 @@
 	return moves
 }
 
-// FromMoves maps a row's past moves to ages.
+// FromMoves maps a row's past moves, from times to ages.
 func FromMoves(now time.Time, moves []steer.Move) []*schema.PastMove {
 	var list []*schema.PastMove
 	for _, m := range moves {
