--- a/io/platform/bans.go
+++ b/io/platform/bans.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	banPrefix = "ban/"
-	banPage   = 500
+	banPrefix   = "ban/"
+	banPageSize = 500
 )
 
-// errBanRaced is returned where another VM wrote the same rows at the same moment. The
-// rows are read again before the next try.
-var errBanRaced = errors.New("bans: another VM wrote them meanwhile")
+// errBanConflict is returned if another VM wrote the same rows at the same time. The rows
+// are read again before the next attempt.
+var errBanConflict = errors.New("bans: another VM changed the rows at the same time")
 
-// Bans keeps requests that are not sent to upstreams, a row each. It implements
+// Bans persists bans of requests on the platform, one per row. It implements
 // quarantine.Keeper.
 type Bans struct{ table *Client }
 
-// NewBans returns the bans that a platform keeps.
+// NewBans returns the bans persisted on a platform.
 func NewBans(c *Client) *Bans { return &Bans{table: c} }
 
 func banKey(p poison.Print) string { return banPrefix + p.String() }
@@ -55,16 +55,16 @@
 		return err
 	}
 	if len(result.Conflicts) > 0 {
-		return errBanRaced
+		return errBanConflict
 	}
 	return nil
 }
 
-// Bans implements quarantine.Keeper. A row that cannot be read names no ban.
+// Bans implements quarantine.Keeper. Rows that cannot be decoded are left out.
 func (b *Bans) Bans(ctx context.Context) ([]poison.Ban, error) {
 	var list []poison.Ban
 	for after := ""; ; {
-		rows, err := b.table.Scan(ctx, banPrefix, after, banPage)
+		rows, err := b.table.Scan(ctx, banPrefix, after, banPageSize)
 		if err != nil {
 			return nil, err
 		}
@@ -76,7 +76,7 @@
 			}
 			list = append(list, poison.Ban{Print: p, At: m.GetAt(), Lifted: m.GetLifted()})
 		}
-		if len(rows) < banPage {
+		if len(rows) < banPageSize {
 			return list, nil
 		}
 		after = rows[len(rows)-1].Key
--- a/io/platform/bans_test.go
+++ b/io/platform/bans_test.go
@@ -10,9 +10,9 @@
 	standin "auburnlatch/standin/platform"
 )
 
-// Bans are written over each other, read by whoever starts, and dropped; dropping one
-// that is not there is no fault.
-func TestBansAreKept(t *testing.T) {
+// Bans are overwritten, read back and deleted. Deleting a ban that does not exist is not an
+// error.
+func TestBansArePersisted(t *testing.T) {
 	srv := httptest.NewServer(standin.New())
 	t.Cleanup(srv.Close)
 	bans := platform.NewBans(platform.New(srv.URL))
@@ -30,7 +30,7 @@
 	}
 	for _, ban := range want {
 		if !slices.Contains(got, ban) {
-			t.Errorf("%+v is missing in %+v", ban, got)
+			t.Errorf("%+v is missing from %+v", ban, got)
 		}
 	}
 	if len(got) != len(want) {
@@ -42,6 +42,6 @@
 		}
 	}
 	if got, err = bans.Bans(ctx); err != nil || len(got) != 0 {
-		t.Errorf("after they were dropped: %v, %v", got, err)
+		t.Errorf("after their deletion: %v, %v, want no bans", got, err)
 	}
 }
--- a/io/platform/batch.go
+++ b/io/platform/batch.go
@@ -9,7 +9,7 @@
 	"auburnlatch/core/claim"
 )
 
-// maxBatch is how many writes share one transaction at most.
+// maxBatch is the maximum number of writes in one transaction.
 const maxBatch = 64
 
 // Committer is the part of a Client that a Batcher needs.
@@ -17,11 +17,11 @@
 	Commit(ctx context.Context, writes []Write) (CommitResult, error)
 }
 
-// Batcher lets writes of many requests share transactions: while one is under
-// way, the writes that arrive wait and go together in the next. So a lone
-// write does not wait, and the table sees no more transactions than one after
-// the other. A row that conflicts fails alone; its neighbours are sent again
-// without it. It is safe for concurrent use.
+// Batcher combines writes of many requests into shared transactions: while a
+// transaction is in flight, new writes wait and are sent together in the next
+// one. So a single write does not wait, and the table never gets more than one
+// transaction at a time. If a row conflicts, only its write fails; the others
+// are sent again without it. It is safe for concurrent use.
 type Batcher struct {
 	table Committer
 
@@ -36,20 +36,20 @@
 	done  chan WriteResult
 }
 
-// WriteResult is what became of one write.
+// WriteResult is the result of one write.
 type WriteResult struct {
 	Outcome claim.Outcome
-	// Version after the write where it was applied.
+	// Version is the row's version after the write, if it was applied.
 	Version uint64
-	// Row found where it conflicted.
+	// Row is the row in the table, if the write conflicted with it.
 	Row Row
 }
 
 // NewBatcher returns a batcher of writes to the table.
 func NewBatcher(table Committer) *Batcher { return &Batcher{table: table} }
 
-// Write writes one row and returns what became of it. A ctx that ends leaves
-// the outcome Unknown, as the write may be under way.
+// Write writes one row and returns the result. If ctx is done first, the outcome
+// is Unknown, as the write may be in flight.
 func (b *Batcher) Write(ctx context.Context, w Write) WriteResult {
 	p := &pending{write: w, done: make(chan WriteResult, 1)}
 	b.mu.Lock()
@@ -68,14 +68,14 @@
 	}
 }
 
-// Wait returns when no transaction is under way.
+// Wait blocks until no transaction is in flight.
 func (b *Batcher) Wait() { b.wg.Wait() }
 
-// run commits what waits until nothing does.
+// run commits waiting writes until there are none.
 func (b *Batcher) run() {
 	defer b.wg.Done()
 	for {
-		batch := b.take()
+		batch := b.nextBatch()
 		if batch == nil {
 			return
 		}
@@ -83,9 +83,10 @@
 	}
 }
 
-// take returns the next batch, each row in it once: two writes of one row in
-// one transaction would have to be ordered.
-func (b *Batcher) take() []*pending {
+// nextBatch removes and returns the next batch, or returns nil if no write waits.
+// It contains each row once, as two writes of a row in one transaction would have
+// to be ordered.
+func (b *Batcher) nextBatch() []*pending {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var batch, rest []*pending
@@ -112,14 +113,14 @@
 		for i, p := range batch {
 			writes[i] = p.write
 		}
-		// The writes of other requests are in there too, so no one request's
-		// ctx bounds the call; the client's own timeout does.
+		// The batch has writes of several requests, so it does not use the ctx
+		// of one of them. The client's timeout limits the call.
 		res, err := b.table.Commit(context.Background(), writes)
 		if err != nil || len(res.Conflicts) == 0 {
 			finish(batch, res, err)
 			return
 		}
-		batch = fail(batch, res.Conflicts)
+		batch = failConflicts(batch, res.Conflicts)
 	}
 }
 
@@ -137,8 +138,8 @@
 	}
 }
 
-// fail gives the conflicting writes their result and returns the others.
-func fail(batch []*pending, conflicts []Row) []*pending {
+// failConflicts completes the conflicting writes and returns the others.
+func failConflicts(batch []*pending, conflicts []Row) []*pending {
 	found := make(map[string]Row, len(conflicts))
 	for _, row := range conflicts {
 		found[row.Key] = row
@@ -152,9 +153,9 @@
 		}
 	}
 	if len(rest) == len(batch) {
-		// Conflicts on rows that were never written: the reply makes no sense,
-		// and trying again would never end.
-		finish(batch, CommitResult{}, errors.New("conflicts on foreign rows"))
+		// The reply is invalid, as all conflicts are on rows that were not
+		// written. Retrying would never end.
+		finish(batch, CommitResult{}, errors.New("conflicts on rows outside the transaction"))
 		return nil
 	}
 	return rest
--- a/io/platform/batch_test.go
+++ b/io/platform/batch_test.go
@@ -12,8 +12,8 @@
 	"auburnlatch/core/claim"
 )
 
-// fakeTable is a table in memory whose commits take some time, one after the
-// other, as a service that bounds its writes a second does.
+// fakeTable is an in-memory table that runs commits one after the other, each
+// taking some time, like a service with a limited number of writes per second.
 type fakeTable struct {
 	mu      sync.Mutex
 	took    time.Duration
@@ -21,7 +21,7 @@
 	version uint64
 	commits int
 	err     error
-	gate    chan struct{} // Where set, a commit waits for it.
+	gate    chan struct{} // If set, commits wait until it is closed.
 }
 
 func (f *fakeTable) Commit(_ context.Context, writes []Write) (CommitResult, error) {
@@ -54,10 +54,9 @@
 	return res, nil
 }
 
-// Several depots book at once and one of them asks again for a slot it has.
-// The transaction they share is refused for that one row; the others must be
-// booked all the same.
-func TestConflictFailsAlone(t *testing.T) {
+// Several writes share a transaction and one of them conflicts, so that the table
+// rejects the whole transaction. The other writes must be applied all the same.
+func TestConflictFailsOnlyItsWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &fakeTable{rows: map[string]uint64{"taken": 7}, version: 7, gate: make(chan struct{})}
 		b := NewBatcher(table)
@@ -66,7 +65,7 @@
 		var wg sync.WaitGroup
 		for i, key := range keys {
 			wg.Go(func() { results[i] = b.Write(context.Background(), Write{Key: key}) })
-			// The first is under way alone; the others wait and go together.
+			// The first is in flight alone; the others wait and are sent together.
 			synctest.Wait()
 		}
 		close(table.gate)
@@ -81,10 +80,10 @@
 			}
 		}
 		if got := results[2].Row.Version; got != 7 {
-			t.Errorf("the conflict shows version %d, want 7", got)
+			t.Errorf("the conflicting row has version %d, want 7", got)
 		}
 		if table.commits != 3 {
-			t.Errorf("%d commits, want 3: the first alone, the rest, the rest without the conflict", table.commits)
+			t.Errorf("%d commits, want 3: the first write alone, the others, the others without the conflict", table.commits)
 		}
 	})
 }
@@ -96,9 +95,9 @@
 		want claim.Outcome
 	}{
 		{"applied", nil, claim.Applied},
-		{"never left", &Error{Sent: false, Err: io.EOF}, claim.NotSent},
-		{"answer lost", &Error{Sent: true, Err: io.EOF}, claim.Unknown},
-		{"an error that proves nothing", io.EOF, claim.Unknown},
+		{"not sent", &Error{Sent: false, Err: io.EOF}, claim.NotSent},
+		{"response lost", &Error{Sent: true, Err: io.EOF}, claim.Unknown},
+		{"error of another type", io.EOF, claim.Unknown},
 	} {
 		b := NewBatcher(&fakeTable{rows: map[string]uint64{}, err: tc.err})
 		if got := b.Write(context.Background(), Write{Key: "k"}); got.Outcome != tc.want {
@@ -108,7 +107,7 @@
 }
 
 // BenchmarkClaims compares claims that share transactions with claims that do
-// not, on a table of 400 commits a second and 64 claims at once.
+// not, on a table that takes 400 commits/s and with 64 concurrent claims.
 func BenchmarkClaims(b *testing.B) {
 	const perCommit = 2500 * time.Microsecond
 	const atOnce = 64
--- a/io/platform/claims.go
+++ b/io/platform/claims.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	claimPrefix = "claim/"
-	scanPage    = 500
+	claimPrefix   = "claim/"
+	claimPageSize = 500
 )
 
-// Claims keeps the rows of claims in the table.
+// Claims stores claims as rows of the platform's table.
 type Claims struct {
-	table *Client
-	batch *Batcher
-	gate  claim.Breaker
+	table   *Client
+	batch   *Batcher
+	breaker claim.Breaker
 }
 
-// NewClaims returns the claims kept by a platform.
+// NewClaims returns the claims stored on a platform.
 func NewClaims(c *Client) *Claims { return &Claims{table: c, batch: NewBatcher(c)} }
 
-// rowKey names a claim's row. The parts are escaped, so that no caller can
-// name a key that is another caller's.
+// rowKey returns the key of a claim's row. Its parts are escaped, so that no
+// caller can produce the key of another caller's claim.
 func rowKey(k claim.Key) string {
 	return claimPrefix + url.PathEscape(k.Service) + "/" + url.PathEscape(k.Caller) + "/" + url.PathEscape(k.Idempotency)
 }
@@ -48,17 +48,17 @@
 }
 
 // Open reports whether a new claim may be tried now; see claim.Breaker.
-func (c *Claims) Open(now time.Time) bool { return c.gate.Allow(now) }
+func (c *Claims) Open(now time.Time) bool { return c.breaker.Allow(now) }
 
-// Write carries out a Write action and returns its result. A row found in the
-// way that cannot be read counts as Unknown: nothing is decided on it.
+// Write executes a Write action and returns the result. If the write conflicts
+// with a row that cannot be decoded, the outcome is Unknown.
 func (c *Claims) Write(ctx context.Context, key claim.Key, a claim.Action) claim.Result {
 	value, err := wire.FromClaimRow(a.Row)
 	if err != nil {
 		return claim.Result{Outcome: claim.NotSent}
 	}
 	r := c.batch.Write(ctx, Write{Key: rowKey(key), If: uint64(a.If), Value: value})
-	c.gate.Report(time.Now(), r.Outcome)
+	c.breaker.Report(time.Now(), r.Outcome)
 	if r.Outcome != claim.Conflict {
 		return claim.Result{Outcome: r.Outcome, Version: claim.Version(r.Version)}
 	}
@@ -71,7 +71,8 @@
 	return result
 }
 
-// Answer returns the body of a stored answer.
+// Answer returns the body of a stored answer, from the object store if it is
+// there.
 func (c *Claims) Answer(ctx context.Context, a *claim.Answer) ([]byte, error) {
 	if a.Object == "" {
 		return a.Body, nil
@@ -79,19 +80,19 @@
 	return c.table.GetObject(ctx, a.Object)
 }
 
-// StoreBody puts a body that is too large for the table into the object store.
+// StoreBody stores a body that is too large for the table in the object store.
 func (c *Claims) StoreBody(ctx context.Context, name string, body []byte) error {
 	return c.table.PutObject(ctx, name, body)
 }
 
-// Listed is a claim with its key and version.
+// ListedClaim is a claim with its key and version.
 type Listed struct {
 	Key     claim.Key
 	Version claim.Version
 	Row     claim.Row
 }
 
-// List returns the claims in state Claimed, by key.
+// List returns the claims in state Claimed, in order of keys.
 func (c *Claims) List(ctx context.Context) ([]Listed, error) {
 	var list []Listed
 	err := c.each(ctx, func(l Listed) error {
@@ -103,8 +104,8 @@
 	return list, err
 }
 
-// Sweep deletes the rows that may be forgotten as of now, and returns how many.
-// A row that changes meanwhile stays.
+// Sweep deletes the rows that may be deleted as of now, and returns their number.
+// A row that changes meanwhile is not deleted.
 func (c *Claims) Sweep(ctx context.Context, now time.Time) (int, error) {
 	n := 0
 	err := c.each(ctx, func(l Listed) error {
@@ -113,7 +114,7 @@
 		}
 		r := c.batch.Write(ctx, Write{Key: rowKey(l.Key), If: uint64(l.Version), Delete: true})
 		if r.Outcome == claim.Unknown || r.Outcome == claim.NotSent {
-			return errors.New("sweep: the table does not answer")
+			return errors.New("sweep: the table did not respond to a delete")
 		}
 		if r.Outcome == claim.Applied {
 			n++
@@ -127,12 +128,12 @@
 func (c *Claims) each(ctx context.Context, f func(Listed) error) error {
 	after := ""
 	for {
-		rows, err := c.table.Scan(ctx, claimPrefix, after, scanPage)
+		rows, err := c.table.Scan(ctx, claimPrefix, after, claimPageSize)
 		if err != nil {
 			return err
 		}
 		for _, r := range rows {
-			l, err := listed(r)
+			l, err := decodeClaim(r)
 			if err != nil {
 				return err
 			}
@@ -140,14 +141,14 @@
 				return err
 			}
 		}
-		if len(rows) < scanPage {
+		if len(rows) < claimPageSize {
 			return nil
 		}
 		after = rows[len(rows)-1].Key
 	}
 }
 
-func listed(r Row) (Listed, error) {
+func decodeClaim(r Row) (Listed, error) {
 	key, err := parseRowKey(r.Key)
 	if err != nil {
 		return Listed{}, err
@@ -156,18 +157,19 @@
 	return Listed{Key: key, Version: claim.Version(r.Version), Row: row}, err
 }
 
-// ErrNotResolvable is returned for a claim that may still be in its holder's
-// hands, or that is none.
+// ErrNotResolvable is returned for a claim that does not exist, is settled, or
+// may still be written by its holder.
 var ErrNotResolvable = errors.New("the claim cannot be resolved")
 
-// Resolve settles a claim by an operator's word, as of now.
+// Resolve settles a claim as of now by an operator's decision; ran states whether
+// the operation ran.
 func (c *Claims) Resolve(ctx context.Context, now time.Time, key claim.Key, ran bool) error {
 	r, err := c.table.Get(ctx, rowKey(key))
 	if err != nil {
 		return err
 	}
 	if r.Version == 0 {
-		return errors.Wrap(ErrNotResolvable, "there is none under this key")
+		return errors.Wrap(ErrNotResolvable, "no claim with this key")
 	}
 	row, err := wire.ClaimRow(r.Value)
 	if err != nil {
@@ -187,10 +189,10 @@
 	}
 	res, err := c.table.Commit(ctx, []Write{{Key: r.Key, If: r.Version, Value: value}})
 	if err == nil && len(res.Conflicts) > 0 {
-		err = errors.Wrap(ErrNotResolvable, "it changed in the meantime")
+		err = errors.Wrap(ErrNotResolvable, "the claim changed in the meantime")
 	}
 	return err
 }
 
-// Wait returns when no write is under way.
+// Wait blocks until no write is in flight.
 func (c *Claims) Wait() { c.batch.Wait() }
--- a/io/platform/claims_test.go
+++ b/io/platform/claims_test.go
@@ -31,10 +31,10 @@
 
 func keyOf(name string) claim.Key { return claim.Key{Service: "s", Caller: "c", Idempotency: name} }
 
-// A row that is deleted while a claim for it is still under way lets that claim
-// win after the operation has run. Only rows that are settled and old enough may
-// go, and what nobody settled must stay.
-func TestSweepDeletesOnlyWhatIsSettledAndOld(t *testing.T) {
+// If a row is deleted while a write of a claim for it is still in flight, that
+// claim succeeds although the operation has already run. Sweep may delete only
+// rows that are settled and old enough, and must keep unsettled ones.
+func TestSweepDeletesOnlySettledOldClaims(t *testing.T) {
 	c := newClaims(t)
 	long, lately := start.Add(-claim.Retention-time.Hour), start.Add(-time.Hour)
 	rows := []struct {
@@ -57,7 +57,7 @@
 	for _, r := range rows {
 		row, err := c.table.Get(context.Background(), rowKey(keyOf(r.name)))
 		if err != nil || (row.Version != 0) != r.stays {
-			t.Errorf("%s: version %d (%v), want it to stay: %t", r.name, row.Version, err, r.stays)
+			t.Errorf("%s: version %d (%v), want it kept: %t", r.name, row.Version, err, r.stays)
 		}
 	}
 }
@@ -88,19 +88,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l, err := listed(row)
+		l, err := decodeClaim(row)
 		if err != nil || l.Row.State != tc.want || l.Key != keyOf("k") {
 			t.Errorf("%s: row %+v (%v), want state %v", tc.name, l, err, tc.want)
 		}
 	}
 }
 
-// Two callers whose names and keys run together alike must have rows of their
-// own.
-func TestRowKeysDoNotRunTogether(t *testing.T) {
+// Two claims whose caller names and keys are equal when joined must have different
+// rows.
+func TestRowKeysAreUnambiguous(t *testing.T) {
 	keys := []claim.Key{{Service: "s", Caller: "a/b", Idempotency: "c"}, {Service: "s", Caller: "a", Idempotency: "b/c"}}
 	if rowKey(keys[0]) == rowKey(keys[1]) {
-		t.Errorf("one row %q for two keys", rowKey(keys[0]))
+		t.Errorf("two keys share the row %q", rowKey(keys[0]))
 	}
 	for _, key := range keys {
 		if got, err := parseRowKey(rowKey(key)); got != key || err != nil {
--- a/io/platform/client.go
+++ b/io/platform/client.go
@@ -19,34 +19,34 @@
 	"auburnlatch/schema"
 )
 
-// Bounds of the client.
+// Limits of the client.
 const (
 	defaultTimeout = 2 * time.Second
 	maxReply       = 64 << 20
 	maxConns       = 16
 )
 
-// ErrNotFound is returned for an object or a row that is not there.
+// ErrNotFound is returned for an object or a row that does not exist.
 var ErrNotFound = errors.New("not found")
 
 // Client calls one platform. It is safe for concurrent use.
 type Client struct {
-	base    string
-	timeout time.Duration
-	http    *http.Client
-	okAt    atomic.Int64
+	base       string
+	timeout    time.Duration
+	http       *http.Client
+	answeredAt atomic.Int64
 }
 
-// Option varies a Client.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithTimeout bounds each call.
+// WithTimeout sets the timeout of each call.
 func WithTimeout(d time.Duration) Option { return func(c *Client) { c.timeout = d } }
 
 // Dial opens a connection, as net.Dialer.DialContext does.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// WithDial has the client open its connections by dial.
+// WithDial sets the function that opens connections.
 func WithDial(dial Dial) Option {
 	return func(c *Client) { c.http.Transport.(*http.Transport).DialContext = dial }
 }
@@ -63,15 +63,16 @@
 	return c
 }
 
-// AnsweredAt returns when the platform last answered, zero if never.
+// AnsweredAt returns when the platform last responded successfully, or the zero time
+// if it never did.
 func (c *Client) AnsweredAt() time.Time {
-	if n := c.okAt.Load(); n != 0 {
+	if n := c.answeredAt.Load(); n != 0 {
 		return time.Unix(0, n)
 	}
 	return time.Time{}
 }
 
-// Commit runs one transaction: all writes apply, or none.
+// Commit runs one transaction: either all writes are applied or none.
 func (c *Client) Commit(ctx context.Context, writes []Write) (CommitResult, error) {
 	req := &schema.CommitRequest{}
 	for _, w := range writes {
@@ -84,7 +85,7 @@
 	return CommitResult{Version: reply.GetVersion(), Conflicts: rows(reply.GetConflicts())}, nil
 }
 
-// Get reads one row. A row that is not there has version 0.
+// Get reads one row. A row that does not exist has version 0.
 func (c *Client) Get(ctx context.Context, key string) (Row, error) {
 	reply := &schema.TableRow{}
 	if err := c.call(ctx, "get", http.MethodGet, "/table/row?key="+url.QueryEscape(key), nil, reply); err != nil {
@@ -93,7 +94,8 @@
 	return Row{Key: key, Version: reply.GetVersion(), Value: reply.GetValue()}, nil
 }
 
-// Scan reads rows whose key begins with prefix and is above after, in order.
+// Scan reads up to limit rows whose key begins with prefix and is greater than after, in
+// order of keys.
 func (c *Client) Scan(ctx context.Context, prefix, after string, limit int) ([]Row, error) {
 	q := url.Values{"prefix": {prefix}, "after": {after}, "limit": {strconv.Itoa(limit)}}
 	reply := &schema.ScanReply{}
@@ -103,18 +105,18 @@
 	return rows(reply.GetRows()), nil
 }
 
-// PutObject stores an object whole.
+// PutObject stores an object.
 func (c *Client) PutObject(ctx context.Context, name string, data []byte) error {
 	_, err := c.roundTrip(ctx, "put object", http.MethodPut, "/objects/"+url.PathEscape(name), data)
 	return err
 }
 
-// GetObject reads an object whole.
+// GetObject reads an object.
 func (c *Client) GetObject(ctx context.Context, name string) ([]byte, error) {
 	return c.roundTrip(ctx, "get object", http.MethodGet, "/objects/"+url.PathEscape(name), nil)
 }
 
-// VMs reads the platform's list of VMs, which lags.
+// VMs reads the platform's list of VMs, which may be out of date.
 func (c *Client) VMs(ctx context.Context) ([]member.ListedVM, error) {
 	reply := &schema.VmList{}
 	if err := c.call(ctx, "list VMs", http.MethodGet, "/vms", nil, reply); err != nil {
@@ -162,7 +164,7 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, &Error{Sent: !neverSent(err), Op: op, Err: err}
+		return nil, &Error{Sent: !dialFailed(err), Op: op, Err: err}
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
@@ -173,18 +175,18 @@
 	case resp.StatusCode == http.StatusNotFound:
 		return nil, &Error{Op: op, Err: ErrNotFound}
 	case resp.StatusCode == http.StatusServiceUnavailable:
-		// The platform's word that it did nothing.
+		// The platform guarantees that it did nothing.
 		return nil, &Error{Op: op, Err: errors.Newf("status %d", resp.StatusCode)}
 	case resp.StatusCode != http.StatusOK:
 		return nil, &Error{Sent: true, Op: op, Err: errors.Newf("status %d", resp.StatusCode)}
 	}
-	c.okAt.Store(time.Now().UnixNano())
+	c.answeredAt.Store(time.Now().UnixNano())
 	return data, nil
 }
 
-// neverSent reports whether the call failed before a connection was there.
-// Whatever fails later may have been sent.
-func neverSent(err error) bool {
+// dialFailed reports whether the call failed before a connection was open.
+// A call that failed later may have been sent.
+func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/io/platform/config.go
+++ b/io/platform/config.go
@@ -17,32 +17,32 @@
 const (
 	headKey      = "config/head"
 	changePrefix = "config/change/"
-	// snapshotEvery is how many changes lie between two snapshots.
-	snapshotEvery = 100
-	// settleWait is the wait between tries to settle a lost answer.
-	settleWait = 50 * time.Millisecond
-	changePage = 500
+	// snapshotInterval is the number of changes between two snapshots.
+	snapshotInterval = 100
+	// commitRetryInterval is the wait before a commit without a response is retried.
+	commitRetryInterval = 50 * time.Millisecond
+	changePageSize      = 500
 )
 
-// Register keeps the inventory in the platform: a row that names the newest
-// version, a row for each change, and snapshots in the object store.
+// InventoryStore stores the inventory on the platform: a head row that names the
+// newest version, a row for each change, and snapshots in the object store.
 type Register struct {
 	client *Client
 }
 
-// NewRegister returns the inventory's register in a platform.
+// NewInventoryStore returns the inventory store of a platform.
 func NewRegister(c *Client) *Register { return &Register{client: c} }
 
-// Head is the newest version.
+// Head names the newest version and the newest snapshot.
 type Head struct {
 	Version uint64
-	// Snapshot is the newest version that is stored whole, under object.
+	// Snapshot is the newest version that has a snapshot; object is its name.
 	Snapshot uint64
 	object   string
 	row      uint64 // The row's version in the table.
 }
 
-// Head reads which version is newest. It costs one read.
+// Head reads the head row. It costs one read.
 func (r *Register) Head(ctx context.Context) (Head, error) {
 	row, err := r.client.Get(ctx, headKey)
 	if err != nil {
@@ -59,7 +59,7 @@
 func (r *Register) Changes(ctx context.Context, after uint64) ([]inventory.Change, error) {
 	var changes []inventory.Change
 	for {
-		rows, err := r.client.Scan(ctx, changePrefix, changeKey(after), changePage)
+		rows, err := r.client.Scan(ctx, changePrefix, changeKey(after), changePageSize)
 		if err != nil {
 			return nil, err
 		}
@@ -71,14 +71,14 @@
 			changes = append(changes, c)
 			after = c.Based + 1
 		}
-		if len(rows) < changePage {
+		if len(rows) < changePageSize {
 			return changes, nil
 		}
 	}
 }
 
-// Snapshot reads the version that the head names as stored whole. Version 0 is
-// the empty inventory.
+// Snapshot reads the snapshot named by the head. Version 0 is the empty
+// inventory.
 func (r *Register) Snapshot(ctx context.Context, head Head) (*inventory.Inventory, error) {
 	if head.Snapshot == 0 {
 		return &inventory.Inventory{}, nil
@@ -94,15 +94,15 @@
 	return wire.Inventory(m)
 }
 
-// Accept makes next, which came of change, the newest version, if no other
-// change has come before it. It returns inventory.ErrVersion where one has.
+// Accept commits change, and makes next, its result, the newest version. It
+// returns inventory.ErrVersion if another change was committed first.
 //
-// The answer of the platform can be lost after the transaction took effect, or
-// while it is still under way. So the same transaction is sent again until it
-// has an answer: its condition is the head it was made from, so it applies at
-// most once, and once the head has moved it never will. Whose change then
-// stands at this version is told by the change's ID. If ctx ends first, the
-// verdict is MaybeRan.
+// The platform's response can be lost after the transaction was applied, or while
+// it is still in flight. So the same transaction is sent again until there is a
+// response. It is conditional on the head that it is based on, so it is applied at
+// most once, and never after the head has changed. The change ID stored for the
+// version then shows which change was committed. If ctx is done first, the
+// verdict is MaybeRan, or NotRun if the transaction was never sent.
 func (r *Register) Accept(ctx context.Context, change inventory.Change, next *inventory.Inventory) error {
 	head, err := r.Head(ctx)
 	if err != nil {
@@ -111,7 +111,7 @@
 	if head.Version != change.Based {
 		return errors.Wrapf(inventory.ErrVersion, "based on %d, newest is %d", change.Based, head.Version)
 	}
-	writes, err := r.transaction(ctx, head, change, next)
+	writes, err := r.newTransaction(ctx, head, change, next)
 	if err != nil {
 		return verdict.Wrap(err, verdict.NotRun, verdict.ReasonPlatform, time.Second)
 	}
@@ -122,7 +122,7 @@
 		case err == nil && len(res.Conflicts) == 0:
 			return nil
 		case err == nil:
-			return r.settleConflict(ctx, change)
+			return r.resolveConflict(ctx, change)
 		}
 		var pe *Error
 		sent = sent || !errors.As(err, &pe) || pe.Sent
@@ -132,20 +132,20 @@
 				return verdict.Wrap(err, verdict.MaybeRan, verdict.ReasonPlatform, time.Second)
 			}
 			return verdict.Wrap(err, verdict.NotRun, verdict.ReasonPlatform, time.Second)
-		case <-time.After(settleWait):
+		case <-time.After(commitRetryInterval):
 		}
 	}
 }
 
-func (r *Register) transaction(ctx context.Context, head Head, change inventory.Change, next *inventory.Inventory) ([]Write, error) {
+func (r *Register) newTransaction(ctx context.Context, head Head, change inventory.Change, next *inventory.Inventory) ([]Write, error) {
 	snapshot, object := head.Snapshot, head.object
-	if next.Version-snapshot >= snapshotEvery {
+	if next.Version-snapshot >= snapshotInterval {
 		data, err := proto.Marshal(wire.FromInventory(next))
 		if err != nil {
 			return nil, errors.Wrap(err, "snapshot")
 		}
-		// Stored before the head names it, and under the change's own ID:
-		// another change for the same version has other content.
+		// The snapshot is stored before the head names it. Its name contains the
+		// change ID, as another change for the same version has other content.
 		snapshot, object = next.Version, fmt.Sprintf("inventory-%d-%s", next.Version, change.ID)
 		if err := r.client.PutObject(ctx, object, data); err != nil {
 			return nil, err
@@ -165,8 +165,9 @@
 	}, nil
 }
 
-// settleConflict finds out who took the version a change was meant for.
-func (r *Register) settleConflict(ctx context.Context, change inventory.Change) error {
+// resolveConflict checks which change was committed as the version that change
+// was meant for. It returns nil if it was change itself.
+func (r *Register) resolveConflict(ctx context.Context, change inventory.Change) error {
 	row, err := r.client.Get(ctx, changeKey(change.Based+1))
 	if err != nil {
 		return verdict.Wrap(err, verdict.MaybeRan, verdict.ReasonPlatform, time.Second)
@@ -180,7 +181,7 @@
 			return nil
 		}
 	}
-	return errors.Wrapf(inventory.ErrVersion, "another change took version %d", change.Based+1)
+	return errors.Wrapf(inventory.ErrVersion, "another change was committed as version %d", change.Based+1)
 }
 
 func decodeChange(value []byte) (inventory.Change, error) {
--- a/io/platform/doc.go
+++ b/io/platform/doc.go
@@ -1,4 +1,4 @@
-// Package platform speaks to the platform: its transactional table service,
+// Package platform is a client of the platform: its transactional table service,
 // its object store and its list of VMs.
 //
 // # Usage
@@ -6,13 +6,13 @@
 //	c := platform.New("http://10.0.0.1:7400")
 //	res, err := c.Commit(ctx, []platform.Write{{Key: "k", If: 0, Value: v}})
 //
-// A call that fails returns an *Error, which says whether the call may have
+// A call that fails returns an *Error, which states whether the call may have
 // taken effect. A commit whose connection broke after it was sent may be
-// applied at any later time; core/claim and Accept are built for that.
+// applied at any later time; core/claim and Accept allow for that.
 //
 // The protocol is that of the stand-in in cmd/standin. A platform with another
-// one is met by another implementation of the small interfaces at the users of
-// this package.
+// protocol needs another implementation of the small interfaces that the users
+// of this package define.
 package platform
 
 import "fmt"
@@ -20,30 +20,30 @@
 // Write is one row of a transaction.
 type Write struct {
 	Key string
-	// If is the version the row must have; 0: there must be none.
+	// If is the version that the row must have; 0 if it must not exist.
 	If     uint64
 	Value  []byte
 	Delete bool
 }
 
-// Row is a row of the table. Version 0 stands for no row.
+// Row is a row of the table. Version 0 means that it does not exist.
 type Row struct {
 	Key     string
 	Version uint64
 	Value   []byte
 }
 
-// CommitResult is the answer to a transaction.
+// CommitResult is the result of a transaction.
 type CommitResult struct {
-	// Version of the rows written; 0 where nothing was.
+	// Version is the version of the rows written, or 0 if none was written.
 	Version uint64
-	// Conflicts are the rows that kept it from applying.
+	// Conflicts are the rows whose version prevented the transaction.
 	Conflicts []Row
 }
 
-// Error is a call that brought no answer.
+// Error is the error of a failed call.
 type Error struct {
-	// Sent says that the call may have reached the platform.
+	// Sent reports that the call may have reached the platform.
 	Sent bool
 	Op   string
 	Err  error
