--- a/io/entry/ahead_test.go
+++ b/io/entry/ahead_test.go
@@ -287,7 +287,7 @@
 	for i := range sent {
 		l.send(t, get(fmt.Sprint("/get/", i)))
 	}
-	begun := func() int {
+	started := func() int {
 		n := 0
 		for i := range sent {
 			if g.has(fmt.Sprint("/get/", i)) {
@@ -296,11 +296,11 @@
 		}
 		return n
 	}
-	eventually(t, "some are started", func() bool { return begun() >= 2 })
+	eventually(t, "some are started", func() bool { return started() >= 2 })
 	other := dialPipeline(t, v)
 	other.send(t, get("/get/other"))
 	eventually(t, "another caller's request is started", func() bool { return g.has("/get/other") })
-	if n := begun(); n > 9 {
+	if n := started(); n > 9 {
 		t.Errorf("%d requests of one connection are in flight at once", n)
 	}
 	for i := range sent {
--- a/io/entry/log_reader_test.go
+++ b/io/entry/log_reader_test.go
@@ -12,12 +12,12 @@
 	"auburnlatch/io/logline"
 )
 
-// stuckReader is a log output that nobody reads.
-type stuckReader struct{ read chan struct{} }
+// blockedWriter is a log output that nobody reads.
+type blockedWriter struct{ unblock chan struct{} }
 
 // Write blocks until the test ends.
-func (s *stuckReader) Write(p []byte) (int, error) {
-	<-s.read
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.unblock
 	return len(p), nil
 }
 
@@ -25,9 +25,9 @@
 // a line never returns. Requests must not wait for their lines, or the VM would stop
 // responding because of its logs.
 func TestRequestsDoNotWaitForLogWriter(t *testing.T) {
-	stuck := &stuckReader{make(chan struct{})}
-	out := logline.NewWriter(stuck)
-	t.Cleanup(func() { close(stuck.read) })
+	blocked := &blockedWriter{make(chan struct{})}
+	out := logline.NewWriter(blocked)
+	t.Cleanup(func() { close(blocked.unblock) })
 	log := logline.New(out, false)
 	for out.Dropped() == 0 {
 		log.Info("Filler")
--- a/io/entry/placement_test.go
+++ b/io/entry/placement_test.go
@@ -59,11 +59,11 @@
 	b := startVM(t, "b", p, func(cfg *settings.Entry) { cfg.Seeds = []string{a.cfg.PeerAddr} })
 	ready(t, a)
 	ready(t, b)
-	joined := func(v *runningVM) func() bool {
+	hasPlacements := func(v *runningVM) func() bool {
 		return func() bool { return v.Figures(time.Now()).Placements > 0 }
 	}
 	const objects = 40
-	eventually(t, "the first VM has placements", func() bool { targetsOf(t, a, objects); return joined(a)() })
+	eventually(t, "the first VM has placements", func() bool { targetsOf(t, a, objects); return hasPlacements(a)() })
 	before := targetsOf(t, a, objects)
 	eventually(t, "the other VM has the placements", func() bool { return differences(before, targetsOf(t, b, objects)) <= 1 })
 	eventually(t, "the platform has stored them", func() bool {
@@ -76,7 +76,7 @@
 	}
 	c := startVM(t, "c", p, nil)
 	ready(t, c)
-	eventually(t, "the VM that starts has placements", joined(c))
+	eventually(t, "the VM that starts has placements", hasPlacements(c))
 	if n := differences(before, targetsOf(t, c, objects)); n > 3 {
 		t.Errorf("%d of %d objects are elsewhere after all VMs were restarted", n, objects)
 	}
--- a/io/entry/teams.go
+++ b/io/entry/teams.go
@@ -60,8 +60,8 @@
 	return v.rulesAge(clock.Boot()) > lifecycle.Share(v.cfg.Load().RevokeWithin, lapseFraction)
 }
 
-// authenticate finds the team of a request by its key. The caller has determined the
-// request's rulesAge after it read the request, and loaded the table after that.
+// authenticate finds the team of a request by its key. The request's rulesAge must have been
+// determined after the request was read, and the table loaded after that.
 //
 // A revoked key must not admit a request that is sent more than RevokeWithin after the
 // revocation was acknowledged, even at a VM that is cut off, was suspended, or gets the
