--- a/io/entry/copies.go
+++ b/io/entry/copies.go
@@ -221,11 +221,11 @@
 	defer cancel()
 	started, asked := time.Now(), clock.Boot()
 	var d replica.Delta
-	err := ErrHistory
+	err := ErrCompacted
 	if t.Loaded() {
 		d, err = v.platform.Changes(ctx, name, t.Head(started).Version, wait)
 	}
-	if errors.Is(err, ErrHistory) {
+	if errors.Is(err, ErrCompacted) {
 		d, err = v.platform.Read(ctx, name)
 	}
 	v.counts.platformCalls.Add(1)
--- a/io/entry/directory.go
+++ b/io/entry/directory.go
@@ -33,7 +33,7 @@
 	logged []string
 }
 
-// Lookup implements Front. It returns ready VMs of the caller's region, and VMs of
+// Lookup implements Directory. It returns ready VMs of the caller's region, and VMs of
 // other regions only if the region has none, as a request's body may have to stay in
 // its caller's region.
 func (v *VM) Lookup(now time.Time, region, zone string) Lookup {
--- a/io/entry/doc.go
+++ b/io/entry/doc.go
@@ -37,8 +37,8 @@
 	TableTargets = "Targets"
 )
 
-// ErrHistory reports that the changes of a table after a version are not retained any more.
-var ErrHistory = errors.New("changes after the version are no longer retained")
+// ErrCompacted reports that the changes of a table after a version are not retained any more.
+var ErrCompacted = errors.New("changes after the version are no longer retained")
 
 // Rules are the operators' settings.
 type Rules struct {
@@ -51,11 +51,11 @@
 	// Read returns a whole table.
 	Read(ctx context.Context, table string) (replica.Delta, error)
 	// Changes returns the changes after a version as soon as there are any, or none
-	// after the wait. It returns ErrHistory if they are not retained any more.
+	// after the wait. It returns ErrCompacted if they are not retained any more.
 	Changes(ctx context.Context, table string, after uint64, wait time.Duration) (replica.Delta, error)
-	// Trip returns the round-trip time to the platform. It must not be measured by a
+	// RTT returns the round-trip time to the platform. It must not be measured by a
 	// call, as the platform counts calls.
-	Trip(ctx context.Context) (time.Duration, error)
+	RTT(ctx context.Context) (time.Duration, error)
 	// Same reports whether two values of a row have the same meaning.
 	Same(table, key string, a, b []byte) bool
 	// Rules decodes the table of rules. Config is nil if there is none.
@@ -68,8 +68,8 @@
 	Withdraw(ctx context.Context, name string) error
 	// VMs returns the registered addresses.
 	VMs(ctx context.Context) ([]string, error)
-	// KeepPlacements stores a region's placements and replaces the previous ones.
-	KeepPlacements(ctx context.Context, region string, data []byte) error
+	// SavePlacements stores a region's placements and replaces the previous ones.
+	SavePlacements(ctx context.Context, region string, data []byte) error
 	// Placements returns a region's placements, or nil if there are none.
 	Placements(ctx context.Context, region string) ([]byte, error)
 	// KeepBans stores bans of requests. Each replaces an earlier ban of its request.
@@ -114,8 +114,8 @@
 	TTL   time.Duration
 }
 
-// Front is what the platform's protocol for look-ups and health checks needs.
-type Front interface {
+// Directory answers callers' look-ups and the platform's health checks.
+type Directory interface {
 	// Ready reports whether the VM should be sent requests.
 	Ready() bool
 	// Lookup returns the VMs for a caller in a region and zone.
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// Ready implements Front. A VM without rules or the table of upstreams is not ready,
+// Ready implements Directory. A VM without rules or the table of upstreams is not ready,
 // nor is one that is leaving or will soon be unable to verify keys.
 func (v *VM) Ready() bool { return v.serving() && !v.lapsing() }
 
--- a/io/entry/fake_test.go
+++ b/io/entry/fake_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-func (p *fakePlatform) Trip(context.Context) (time.Duration, error) { return time.Millisecond, nil }
+func (p *fakePlatform) RTT(context.Context) (time.Duration, error) { return time.Millisecond, nil }
 
 func (p *fakePlatform) Same(_, _ string, a, b []byte) bool { return string(a) == string(b) }
 
@@ -173,7 +173,7 @@
 	return list, nil
 }
 
-func (p *fakePlatform) KeepPlacements(_ context.Context, region string, data []byte) error {
+func (p *fakePlatform) SavePlacements(_ context.Context, region string, data []byte) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.unavailable {
--- a/io/entry/placement.go
+++ b/io/entry/placement.go
@@ -110,7 +110,7 @@
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		p.vm.counts.platformCalls.Add(1)
-		err = p.vm.platform.KeepPlacements(ctx, p.vm.cfg.Load().Region, data)
+		err = p.vm.platform.SavePlacements(ctx, p.vm.cfg.Load().Region, data)
 	}
 	if err != nil {
 		p.vm.log.WithField("Err", err).Info("PlacementsNotKept")
--- a/io/entry/watchers.go
+++ b/io/entry/watchers.go
@@ -178,7 +178,7 @@
 func (v *VM) measureRTT(ctx context.Context) (time.Duration, bool) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	took, err := v.platform.Trip(ctx)
+	took, err := v.platform.RTT(ctx)
 	if err != nil {
 		v.log.WithField("Err", err).Debug("PlatformTripUnknown")
 		return 0, false
