--- a/io/caller/keyed.go
+++ b/io/caller/keyed.go
@@ -39,7 +39,7 @@
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(req.HTTP.Context()), req.Deadline)
 	defer cancel()
 	now := time.Now()
-	if !s.claims.Open(now) {
+	if !s.claims.Allow(now) {
 		s.refuse(w, req.HTTP, verdict.New(verdict.NotRun, verdict.ReasonPlatform, claim.DefaultRetryAfter))
 		return
 	}
--- a/io/caller/open.go
+++ b/io/caller/open.go
@@ -32,15 +32,15 @@
 
 // list returns the open claims, sorted by attempt ID. It reads only the immutable
 // fields of attempts, as other goroutines use them meanwhile.
-func (o *openClaims) list() []platform.Listed {
+func (o *openClaims) list() []platform.ListedClaim {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	var list []platform.Listed
+	var list []platform.ListedClaim
 	for _, a := range o.attempts {
-		list = append(list, platform.Listed{Key: a.Key, Row: claim.Row{
+		list = append(list, platform.ListedClaim{Key: a.Key, Row: claim.Row{
 			Attempt: a.ID, State: claim.Claimed, Digest: a.Digest, Holder: a.Holder, Deadline: a.Deadline,
 		}})
 	}
-	slices.SortFunc(list, func(a, b platform.Listed) int { return strings.Compare(a.Row.Attempt, b.Row.Attempt) })
+	slices.SortFunc(list, func(a, b platform.ListedClaim) int { return strings.Compare(a.Row.Attempt, b.Row.Attempt) })
 	return list
 }
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -72,7 +72,7 @@
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
 // OpenClaims returns the claims that are not settled yet, sorted by attempt ID.
-func (s *Server) OpenClaims() []platform.Listed { return s.open.list() }
+func (s *Server) OpenClaims() []platform.ListedClaim { return s.open.list() }
 
 // Refuse makes the server refuse new requests, when the VM leaves. Requests in
 // flight are served to their end.
--- a/io/entry/limits.go
+++ b/io/entry/limits.go
@@ -70,14 +70,14 @@
 		if name == v.cfg.Load().Name {
 			p.recordOwn(now, demand, ask)
 		} else if m, ok := v.members.FindPeer(now, name); ok {
-			p.peer.TellDemand(m.VM.Address.Peer, demand, ask)
+			p.peer.SendDemand(m.VM.Address.Peer, demand, ask)
 		}
 	}
 }
 
 // recordOwn records the demand if this VM is a collector.
 func (p *demandPublisher) recordOwn(now time.Time, demand []ratelimit.Demand, ask bool) {
-	total, ok := limitTable{p.vm}.Told(now, p.vm.cfg.Load().PeerAddr, demand, true)
+	total, ok := limitTable{p.vm}.RecordDemand(now, p.vm.cfg.Load().PeerAddr, demand, true)
 	if ok && ask {
 		limitTable{p.vm}.Heard(now, total)
 	}
@@ -101,14 +101,14 @@
 // limitTable handles datagrams about limits.
 type limitTable struct{ *VM }
 
-// Knows implements peer.LimitTable.
-func (l limitTable) Knows(now time.Time, addr string) bool {
+// IsPeer implements peer.LimitTable.
+func (l limitTable) IsPeer(now time.Time, addr string) bool {
 	return l.activeAddrs.Load() != nil && l.isPeer(now, addr)
 }
 
-// Told implements peer.LimitTable. A VM that has just started, or does not know of any
+// RecordDemand implements peer.LimitTable. A VM that has just started, or does not know of any
 // other yet, cannot return totals.
-func (l limitTable) Told(now time.Time, addr string, list []ratelimit.Demand, first bool) (ratelimit.Total, bool) {
+func (l limitTable) RecordDemand(now time.Time, addr string, list []ratelimit.Demand, first bool) (ratelimit.Total, bool) {
 	table, active := l.table.Load(), l.activeAddrs.Load()
 	if table == nil || active == nil {
 		return ratelimit.Total{}, false
--- a/io/entry/limits_bench_test.go
+++ b/io/entry/limits_bench_test.go
@@ -34,7 +34,7 @@
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
-		limitTable{v}.Told(now, fmt.Sprint("addr", i%300), list, true)
+		limitTable{v}.RecordDemand(now, fmt.Sprint("addr", i%300), list, true)
 		i++
 	}
 }
--- a/io/entry/notice.go
+++ b/io/entry/notice.go
@@ -95,15 +95,15 @@
 		return
 	}
 	for range noticeFanout {
-		p.peer.TellReports([]string{addrs[rand.IntN(len(addrs))]}, list)
+		p.peer.SendReports([]string{addrs[rand.IntN(len(addrs))]}, list)
 	}
 }
 
 // upstreamTable handles datagrams about upstreams.
 type upstreamTable struct{ *VM }
 
-// Knows implements peer.UpstreamTable.
-func (u upstreamTable) Knows(now time.Time, addr string) bool { return u.isPeer(now, addr) }
+// IsPeer implements peer.UpstreamTable.
+func (u upstreamTable) IsPeer(now time.Time, addr string) bool { return u.isPeer(now, addr) }
 
 // MergeReports implements peer.UpstreamTable.
 func (u upstreamTable) MergeReports(now time.Time, list []balance.Report) {
--- a/io/entry/notice_test.go
+++ b/io/entry/notice_test.go
@@ -81,7 +81,7 @@
 		{"zero", 503, []string{"0"}, 0},
 		{"two times", 503, []string{"1", "3"}, 3 * time.Second},
 		{"one of two unreadable", 503, []string{"x", "3"}, 3 * time.Second},
-		{"above the maximum", 503, []string{"99999999999999999999"}, upstream.MaxPause},
+		{"above the maximum", 503, []string{"99999999999999999999"}, upstream.MaxRetryAfter},
 		{"another status", 429, []string{"3"}, 0},
 		{"another response", 200, []string{"3"}, 0},
 		{"empty", 503, []string{""}, 0},
@@ -106,7 +106,7 @@
 		if x := n.Limit.PerSecond; !(x >= 0) {
 			t.Errorf("a limit of %v", x)
 		}
-		if n.RetryAfter < 0 || n.RetryAfter > upstream.MaxPause {
+		if n.RetryAfter < 0 || n.RetryAfter > upstream.MaxRetryAfter {
 			t.Errorf("a pause of %v", n.RetryAfter)
 		}
 	})
--- a/io/entry/placement.go
+++ b/io/entry/placement.go
@@ -61,7 +61,7 @@
 		case <-ctx.Done():
 			return
 		case <-p.vm.newPlacements:
-			p.peer.Tell(p.vm.placementHolders(time.Now()), p.vm.balancer.News())
+			p.peer.SendPlacements(p.vm.placementHolders(time.Now()), p.vm.balancer.News())
 			if !lifecycle.Sleep(ctx, minPublishInterval) {
 				return
 			}
--- a/io/entry/push.go
+++ b/io/entry/push.go
@@ -171,7 +171,7 @@
 // run pushes once: a VM that is missed pulls the changes itself.
 func (h *handoff) run(ctx context.Context) {
 	defer h.vm.background.Done()
-	if err := h.vm.peerClient.HandTables(ctx, h.addr, h.deltas); err != nil {
+	if err := h.vm.peerClient.PushTables(ctx, h.addr, h.deltas); err != nil {
 		h.vm.log.WithFields(logrus.Fields{"Addr": h.addr, "Err": err}).Debug("PushFailed")
 	}
 }
--- a/io/operator/server.go
+++ b/io/operator/server.go
@@ -53,7 +53,7 @@
 	Status(now time.Time) *schema.Status
 	Dump(now time.Time) *schema.Dump
 	Explain(now time.Time, client netip.Addr, service string) *schema.Explanation
-	Claims(ctx context.Context) ([]platform.Listed, error)
+	Claims(ctx context.Context) ([]platform.ListedClaim, error)
 	ResolveClaim(ctx context.Context, now time.Time, key claim.Key, ran bool) error
 }
 
@@ -193,7 +193,7 @@
 }
 
 // ClaimDump returns the form of a claim that operators see.
-func ClaimDump(l platform.Listed) *schema.ClaimDump {
+func ClaimDump(l platform.ListedClaim) *schema.ClaimDump {
 	return &schema.ClaimDump{
 		Service: l.Key.Service, Caller: l.Key.Caller, Key: l.Key.Idempotency, Attempt: l.Row.Attempt,
 		State: l.Row.State.String(), Vm: l.Row.Holder.VM, Deadline: wire.FromTime(l.Row.Deadline),
--- a/io/operator/tls_test.go
+++ b/io/operator/tls_test.go
@@ -36,7 +36,7 @@
 func (f *fakeVM) Explain(time.Time, netip.Addr, string) *schema.Explanation {
 	return &schema.Explanation{}
 }
-func (f *fakeVM) Claims(context.Context) ([]platform.Listed, error)              { return nil, nil }
+func (f *fakeVM) Claims(context.Context) ([]platform.ListedClaim, error)         { return nil, nil }
 func (f *fakeVM) ResolveClaim(context.Context, time.Time, claim.Key, bool) error { return nil }
 
 // authority is a certificate authority that signs certificates for 127.0.0.1 and writes
--- a/io/peer/datagram.go
+++ b/io/peer/datagram.go
@@ -59,10 +59,10 @@
 	// IsPeer reports whether the sender at an address, IP:port, is a VM. Datagrams of other
 	// senders are ignored: they could take the share of a limit away from all VMs, or grant
 	// more than the limit.
-	Knows(now time.Time, addr string) bool
+	IsPeer(now time.Time, addr string) bool
 	// RecordDemand records the demand at the VM at an address and returns the totals, or
 	// false if this VM does not have them. first marks the first datagram of a series.
-	Told(now time.Time, addr string, list []ratelimit.Demand, first bool) (ratelimit.Total, bool)
+	RecordDemand(now time.Time, addr string, list []ratelimit.Demand, first bool) (ratelimit.Total, bool)
 	// Heard records received totals.
 	Heard(now time.Time, t ratelimit.Total)
 }
@@ -72,7 +72,7 @@
 type UpstreamTable interface {
 	// IsPeer reports whether the sender at an address, IP:port, is a VM. Datagrams of other
 	// senders are ignored: they could keep all VMs from using an upstream.
-	Knows(now time.Time, addr string) bool
+	IsPeer(now time.Time, addr string) bool
 	// MergeReports merges the reports of another VM.
 	MergeReports(now time.Time, list []balance.Report)
 }
@@ -142,18 +142,18 @@
 		if d.limits != nil && (m.GetDemand() != nil || m.GetTotal() != nil) {
 			d.receiveDemand(from, &m)
 		}
-		if now := time.Now(); d.upstreams != nil && len(m.GetUpstreams()) > 0 && d.upstreams.Knows(now, from.String()) {
+		if now := time.Now(); d.upstreams != nil && len(m.GetUpstreams()) > 0 && d.upstreams.IsPeer(now, from.String()) {
 			d.upstreams.MergeReports(now, wire.Reports(m.GetUpstreams()))
 		}
 	}
 }
 
 func (d *Datagrams) receiveDemand(from netip.AddrPort, m *schema.Datagram) {
-	if !d.limits.Knows(time.Now(), from.String()) {
+	if !d.limits.IsPeer(time.Now(), from.String()) {
 		return
 	}
 	if demand := m.GetDemand(); demand != nil {
-		total, ok := d.limits.Told(time.Now(), from.String(), wire.Demands(demand), !demand.GetMore())
+		total, ok := d.limits.RecordDemand(time.Now(), from.String(), wire.Demands(demand), !demand.GetMore())
 		if ok && demand.GetAsk() {
 			d.send(from, &schema.Datagram{Total: wire.FromTotal(total)})
 		}
@@ -165,7 +165,7 @@
 
 // SendDemand sends the demand at this VM to another. With ask it requests the totals in
 // return.
-func (d *Datagrams) TellDemand(addr string, list []ratelimit.Demand, ask bool) {
+func (d *Datagrams) SendDemand(addr string, list []ratelimit.Demand, ask bool) {
 	list = list[:min(maxDemands, len(list))]
 	d.forEachAddr([]string{addr}, func(to netip.AddrPort) {
 		for more := false; !more || len(list) > 0; more = true {
@@ -204,35 +204,35 @@
 
 // SendPlacements sends placements to VMs. A VM that is not reached receives them when it
 // requests all placements, or in reply to its own outdated ones.
-func (d *Datagrams) Tell(addrs []string, list []balance.Placement) {
+func (d *Datagrams) SendPlacements(addrs []string, list []balance.Placement) {
 	d.forEachAddr(addrs, func(to netip.AddrPort) { d.sendPlacementsTo(to, list) })
 }
 
-// RequestPlacements requests all placements of a VM.
+// Ask requests all placements that a VM has.
 func (d *Datagrams) Ask(addr string) {
 	d.forEachAddr([]string{addr}, func(to netip.AddrPort) { d.send(to, &schema.Datagram{Ask: true}) })
 }
 
 // SendPoison sends updates on requests that crash upstreams to VMs.
-func (d *Datagrams) TellPoison(addrs []string, n poison.News) {
+func (d *Datagrams) SendPoison(addrs []string, n poison.News) {
 	d.forEachAddr(addrs, func(to netip.AddrPort) { d.sendPoisonTo(to, n) })
 }
 
 // RequestPoison requests all records of such requests from VMs.
-func (d *Datagrams) AskPoison(addrs ...string) {
+func (d *Datagrams) RequestPoison(addrs ...string) {
 	d.forEachAddr(addrs, func(to netip.AddrPort) { d.send(to, &schema.Datagram{Poison: &schema.PoisonNews{Ask: true}}) })
 }
 
 // SendPoisonDigest sends the digest of this VM's bans to another VM, which sends its own
 // bans in reply if its digest differs.
-func (d *Datagrams) ComparePoison(addr string) {
+func (d *Datagrams) SendPoisonDigest(addr string) {
 	d.forEachAddr([]string{addr}, func(to netip.AddrPort) {
 		d.send(to, &schema.Datagram{Poison: &schema.PoisonNews{Digest: d.poison.Digest()}})
 	})
 }
 
 // SendReports sends reports of upstreams' notices to VMs.
-func (d *Datagrams) TellReports(addrs []string, list []balance.Report) {
+func (d *Datagrams) SendReports(addrs []string, list []balance.Report) {
 	d.forEachAddr(addrs, func(to netip.AddrPort) {
 		for rest := list; len(rest) > 0; {
 			n := min(itemsPerDatagram, len(rest))
--- a/io/peer/replica.go
+++ b/io/peer/replica.go
@@ -158,7 +158,7 @@
 
 // PushTables sends table deltas to the VM at addr, which applies those that start at
 // the version of its replica.
-func (c *Client) HandTables(ctx context.Context, addr string, deltas []replica.Delta) error {
+func (c *Client) PushTables(ctx context.Context, addr string, deltas []replica.Delta) error {
 	return c.callConn(ctx, addr, func(ctx context.Context, conn drpc.Conn) error {
 		m := &schema.SyncReply{Tables: c.packer.FromReplicaDeltas(deltas)}
 		c.sent.count(m)
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -17,7 +17,7 @@
 )
 
 // ChangeLog provides the inventory and its recent changes.
-type Register interface {
+type ChangeLog interface {
 	// ChangesAfter returns the changes after a version, oldest first, or
 	// false if they are no longer kept.
 	ChangesAfter(version uint64) ([]inventory.Change, bool)
@@ -27,14 +27,14 @@
 // Server serves membership entries, inventory changes and weights to other VMs.
 type Server struct {
 	table    *member.Table
-	register Register
+	register ChangeLog
 	rows     *steer.Rows
 	bytesIn  atomic.Int64
 	bytesOut atomic.Int64
 }
 
 // NewServer returns a server of a VM's table, inventory changes and weights.
-func NewServer(table *member.Table, register Register, rows *steer.Rows) *Server {
+func NewServer(table *member.Table, register ChangeLog, rows *steer.Rows) *Server {
 	return &Server{table: table, register: register, rows: rows}
 }
 
--- a/io/platform/claims.go
+++ b/io/platform/claims.go
@@ -47,8 +47,8 @@
 	return claim.Key{Service: parts[0], Caller: parts[1], Idempotency: parts[2]}, nil
 }
 
-// Open reports whether a new claim may be tried now; see claim.Breaker.
-func (c *Claims) Open(now time.Time) bool { return c.breaker.Allow(now) }
+// Allow reports whether a new claim may be tried now; see claim.Breaker.
+func (c *Claims) Allow(now time.Time) bool { return c.breaker.Allow(now) }
 
 // Write executes a Write action and returns the result. If the write conflicts
 // with a row that cannot be decoded, the outcome is Unknown.
@@ -86,16 +86,16 @@
 }
 
 // ListedClaim is a claim with its key and version.
-type Listed struct {
+type ListedClaim struct {
 	Key     claim.Key
 	Version claim.Version
 	Row     claim.Row
 }
 
 // List returns the claims in state Claimed, in order of keys.
-func (c *Claims) List(ctx context.Context) ([]Listed, error) {
-	var list []Listed
-	err := c.each(ctx, func(l Listed) error {
+func (c *Claims) List(ctx context.Context) ([]ListedClaim, error) {
+	var list []ListedClaim
+	err := c.each(ctx, func(l ListedClaim) error {
 		if l.Row.State == claim.Claimed {
 			list = append(list, l)
 		}
@@ -108,7 +108,7 @@
 // A row that changes meanwhile is not deleted.
 func (c *Claims) Sweep(ctx context.Context, now time.Time) (int, error) {
 	n := 0
-	err := c.each(ctx, func(l Listed) error {
+	err := c.each(ctx, func(l ListedClaim) error {
 		if !claim.MayDelete(now, l.Row) {
 			return nil
 		}
@@ -125,7 +125,7 @@
 }
 
 // each calls f for each row, in order of keys.
-func (c *Claims) each(ctx context.Context, f func(Listed) error) error {
+func (c *Claims) each(ctx context.Context, f func(ListedClaim) error) error {
 	after := ""
 	for {
 		rows, err := c.table.Scan(ctx, claimPrefix, after, claimPageSize)
@@ -148,13 +148,13 @@
 	}
 }
 
-func decodeClaim(r Row) (Listed, error) {
+func decodeClaim(r Row) (ListedClaim, error) {
 	key, err := parseRowKey(r.Key)
 	if err != nil {
-		return Listed{}, err
+		return ListedClaim{}, err
 	}
 	row, err := wire.ClaimRow(r.Value)
-	return Listed{Key: key, Version: claim.Version(r.Version), Row: row}, err
+	return ListedClaim{Key: key, Version: claim.Version(r.Version), Row: row}, err
 }
 
 // ErrNotResolvable is returned for a claim that does not exist, is settled, or
--- a/io/platform/config.go
+++ b/io/platform/config.go
@@ -26,12 +26,12 @@
 
 // InventoryStore stores the inventory on the platform: a head row that names the
 // newest version, a row for each change, and snapshots in the object store.
-type Register struct {
+type InventoryStore struct {
 	client *Client
 }
 
 // NewInventoryStore returns the inventory store of a platform.
-func NewRegister(c *Client) *Register { return &Register{client: c} }
+func NewInventoryStore(c *Client) *InventoryStore { return &InventoryStore{client: c} }
 
 // Head names the newest version and the newest snapshot.
 type Head struct {
@@ -43,7 +43,7 @@
 }
 
 // Head reads the head row. It costs one read.
-func (r *Register) Head(ctx context.Context) (Head, error) {
+func (r *InventoryStore) Head(ctx context.Context) (Head, error) {
 	row, err := r.client.Get(ctx, headKey)
 	if err != nil {
 		return Head{}, err
@@ -56,7 +56,7 @@
 }
 
 // Changes reads the changes after a version, oldest first.
-func (r *Register) Changes(ctx context.Context, after uint64) ([]inventory.Change, error) {
+func (r *InventoryStore) Changes(ctx context.Context, after uint64) ([]inventory.Change, error) {
 	var changes []inventory.Change
 	for {
 		rows, err := r.client.Scan(ctx, changePrefix, changeKey(after), changePageSize)
@@ -79,7 +79,7 @@
 
 // Snapshot reads the snapshot named by the head. Version 0 is the empty
 // inventory.
-func (r *Register) Snapshot(ctx context.Context, head Head) (*inventory.Inventory, error) {
+func (r *InventoryStore) Snapshot(ctx context.Context, head Head) (*inventory.Inventory, error) {
 	if head.Snapshot == 0 {
 		return &inventory.Inventory{}, nil
 	}
@@ -103,7 +103,7 @@
 // most once, and never after the head has changed. The change ID stored for the
 // version then shows which change was committed. If ctx is done first, the
 // verdict is MaybeRan, or NotRun if the transaction was never sent.
-func (r *Register) Accept(ctx context.Context, change inventory.Change, next *inventory.Inventory) error {
+func (r *InventoryStore) Accept(ctx context.Context, change inventory.Change, next *inventory.Inventory) error {
 	head, err := r.Head(ctx)
 	if err != nil {
 		return verdict.Wrap(err, verdict.NotRun, verdict.ReasonPlatform, time.Second)
@@ -137,7 +137,7 @@
 	}
 }
 
-func (r *Register) newTransaction(ctx context.Context, head Head, change inventory.Change, next *inventory.Inventory) ([]Write, error) {
+func (r *InventoryStore) newTransaction(ctx context.Context, head Head, change inventory.Change, next *inventory.Inventory) ([]Write, error) {
 	snapshot, object := head.Snapshot, head.object
 	if next.Version-snapshot >= snapshotInterval {
 		data, err := proto.Marshal(wire.FromInventory(next))
@@ -167,7 +167,7 @@
 
 // resolveConflict checks which change was committed as the version that change
 // was meant for. It returns nil if it was change itself.
-func (r *Register) resolveConflict(ctx context.Context, change inventory.Change) error {
+func (r *InventoryStore) resolveConflict(ctx context.Context, change inventory.Change) error {
 	row, err := r.client.Get(ctx, changeKey(change.Based+1))
 	if err != nil {
 		return verdict.Wrap(err, verdict.MaybeRan, verdict.ReasonPlatform, time.Second)
--- a/io/quarantine/teller.go
+++ b/io/quarantine/teller.go
@@ -51,7 +51,7 @@
 			p.tick(now)
 		}
 		if n := g.ledger.TakeNews(); !n.Empty() {
-			p.peer.TellPoison(g.fleet.Mates(time.Now()), n)
+			p.peer.SendPoison(g.fleet.Mates(time.Now()), n)
 		}
 		if !lifecycle.Sleep(ctx, publishInterval) {
 			return
@@ -81,10 +81,10 @@
 	}
 	if pullDue {
 		p.pulledAt = now
-		p.peer.AskPoison(peers[rand.IntN(len(peers))])
+		p.peer.RequestPoison(peers[rand.IntN(len(peers))])
 	}
 	if compareDue {
 		p.comparedAt = now
-		p.peer.ComparePoison(peers[rand.IntN(len(peers))])
+		p.peer.SendPoisonDigest(peers[rand.IntN(len(peers))])
 	}
 }
--- a/io/route/router.go
+++ b/io/route/router.go
@@ -312,7 +312,7 @@
 func newSample(err error, took time.Duration) dispatch.Sample {
 	s := dispatch.Sample{Err: err, Took: took, Shed: err != nil && verdict.As(err).Reason == verdict.ReasonShed}
 	if shed := (*upstream.ShedError)(nil); errors.As(err, &shed) {
-		s.Pause = shed.Pause
+		s.Pause = shed.RetryAfter
 	}
 	return s
 }
--- a/io/upstream/client.go
+++ b/io/upstream/client.go
@@ -93,12 +93,12 @@
 type ShedError struct {
 	// RetryAfter is how long the upstream asks not to be sent requests; 0 if
 	// it names no time.
-	Pause time.Duration
+	RetryAfter time.Duration
 }
 
 // Error implements error.
 func (e *ShedError) Error() string {
-	return "upstream shed the request, retry after " + e.Pause.String()
+	return "upstream shed the request, retry after " + e.RetryAfter.String()
 }
 
 // RoundTrip sends one request to an address, exactly once, and returns the response.
--- a/io/upstream/client_test.go
+++ b/io/upstream/client_test.go
@@ -177,7 +177,7 @@
 	defer stop()
 	_, err := NewClient().Send(t.Context(), target(addr), []int{503}, request(t, http.MethodGet, ""))
 	var shed *ShedError
-	if !errors.As(err, &shed) || shed.Pause != 2500*time.Millisecond {
+	if !errors.As(err, &shed) || shed.RetryAfter != 2500*time.Millisecond {
 		t.Errorf("err = %v, want ShedError with retry after 2.5 s", err)
 	}
 	if after := verdict.As(err).RetryAfter; after != 2500*time.Millisecond {
--- a/io/upstream/header.go
+++ b/io/upstream/header.go
@@ -9,7 +9,7 @@
 )
 
 // MaxRetryAfter is the longest time that RetryAfter returns.
-const MaxPause = 24 * time.Hour
+const MaxRetryAfter = 24 * time.Hour
 
 // RetryAfter returns how long an upstream that shed a request asks not to be sent others, by the
 // Retry-After fields of its response header, or 0 if it names no time. Of several times the
@@ -21,7 +21,7 @@
 			longest = max(longest, seconds)
 		}
 	}
-	return time.Duration(min(longest, MaxPause.Seconds()) * float64(time.Second))
+	return time.Duration(min(longest, MaxRetryAfter.Seconds()) * float64(time.Second))
 }
 
 // Decimal parses a non-negative decimal number without an exponent.
--- a/io/vm/config.go
+++ b/io/vm/config.go
@@ -21,7 +21,7 @@
 // config holds the inventory in force, whose version never decreases. It is safe
 // for concurrent use.
 type config struct {
-	register *platform.Register
+	register *platform.InventoryStore
 	log      *logrus.Entry
 
 	mu      sync.Mutex
@@ -31,7 +31,7 @@
 	at      time.Time          // When inv came into force.
 }
 
-func newConfig(r *platform.Register, log *logrus.Entry) *config {
+func newConfig(r *platform.InventoryStore, log *logrus.Entry) *config {
 	return &config{register: r, log: log, inv: &inventory.Inventory{}}
 }
 
@@ -49,7 +49,7 @@
 	return c.loaded
 }
 
-// ChangesAfter implements peer.Register.
+// ChangesAfter implements peer.ChangeLog.
 func (c *config) ChangesAfter(version uint64) ([]inventory.Change, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/io/vm/operator.go
+++ b/io/vm/operator.go
@@ -38,7 +38,7 @@
 }
 
 // Claims implements operator.VM.
-func (v *VM) Claims(ctx context.Context) ([]platform.Listed, error) { return v.claims.List(ctx) }
+func (v *VM) Claims(ctx context.Context) ([]platform.ListedClaim, error) { return v.claims.List(ctx) }
 
 // ResolveClaim implements operator.VM.
 func (v *VM) ResolveClaim(ctx context.Context, now time.Time, key claim.Key, ran bool) error {
--- a/io/vm/vm.go
+++ b/io/vm/vm.go
@@ -115,7 +115,7 @@
 		cfg: cfg, log: log, incarnation: uint64(now.UnixMilli()), started: now,
 		pool: dispatch.NewPool(cfg.Name), platform: client, claims: platform.NewClaims(client),
 		peers: peer.NewClient(peer.WithDial(peer.Dial(o.dial))), upstreams: upstream.NewClient(toUpstream),
-		config:  newConfig(platform.NewRegister(client), log),
+		config:  newConfig(platform.NewInventoryStore(client), log),
 		refresh: make(chan struct{}, 1),
 	}
 	v.work, v.cancelWork = context.WithCancel(context.Background())
