--- a/tools/soak/chaos.go
+++ b/tools/soak/chaos.go
@@ -18,46 +18,47 @@
 )
 
 const (
-	// callers ask all the time, each about every callEvery.
-	callers   = 16
-	callEvery = 25 * time.Millisecond
-	// settle is how long the fleet has from its start, and after the last fault,
-	// until it must serve.
-	settle = 6 * time.Second
-	// calmFor is how long it is watched after that.
-	calmFor = 3 * time.Second
-	// faultEvery is the mean time between two faults.
-	faultEvery = 700 * time.Millisecond
-	// faultFor is the longest time a fault lasts.
-	faultFor = 2 * time.Second
+	// callers is the number of concurrent callers. Each sends a request about every
+	// callInterval.
+	callers      = 16
+	callInterval = 25 * time.Millisecond
+	// settleTime is the time after the fleet's start, and again after the last fault, by
+	// which the fleet must serve.
+	settleTime = 6 * time.Second
+	// observeTime is how long the fleet is observed after that.
+	observeTime = 3 * time.Second
+	// faultInterval is the mean time between two faults.
+	faultInterval = 700 * time.Millisecond
+	// maxFaultDuration is the longest duration of a fault.
+	maxFaultDuration = 2 * time.Second
 )
 
-// fault is one thing that goes wrong. It returns when it is over.
+// fault is a kind of fault. run injects it and returns when it is over.
 type fault struct {
 	name string
 	run  func(f *fleet, which int, lasts time.Duration) error
 }
 
-// faults are those that a schedule draws from.
+// faults are the kinds that a schedule selects from at random.
 var faults = []fault{
 	{"vmKilled", func(f *fleet, i int, _ time.Duration) error { return f.vm(i).restart(syscall.SIGKILL) }},
 	{"vmStopped", func(f *fleet, i int, _ time.Duration) error { return f.vm(i).restart(syscall.SIGTERM) }},
 	{"vmPaused", func(f *fleet, i int, d time.Duration) error {
-		defer f.excuses.begin(f.vm(i).name)()
-		return paused(f.vm(i).process, d)
+		defer f.exemptions.begin(f.vm(i).name)()
+		return pauseProcess(f.vm(i).process, d)
 	}},
 	{"vmReloaded", func(f *fleet, i int, _ time.Duration) error { f.vm(i).signal(syscall.SIGHUP); return nil }},
-	{"storePaused", func(f *fleet, _ int, d time.Duration) error { return paused(f.store, d) }},
-	{"storePathFaulty", func(f *fleet, i int, d time.Duration) error { return faulty(f.vm(i).store, i, d) }},
+	{"storePaused", func(f *fleet, _ int, d time.Duration) error { return pauseProcess(f.store, d) }},
+	{"storePathFaulty", func(f *fleet, i int, d time.Duration) error { return impairPath(f.vm(i).store, i, d) }},
 	{"upstreamKilled", func(f *fleet, i int, _ time.Duration) error { return f.upstream(i).restart(syscall.SIGKILL) }},
 	{"upstreamDrained", func(f *fleet, i int, _ time.Duration) error { return f.upstream(i).restart(syscall.SIGTERM) }},
 	{"upstreamPaused", func(f *fleet, i int, d time.Duration) error {
-		defer f.excuses.begin(f.upstream(i).name)()
-		return paused(f.upstream(i).process, d)
+		defer f.exemptions.begin(f.upstream(i).name)()
+		return pauseProcess(f.upstream(i).process, d)
 	}},
 	{"upstreamPathFaulty", func(f *fleet, i int, d time.Duration) error {
-		defer f.excuses.begin(f.upstream(i).name)()
-		return faulty(f.upstream(i).path, i, d)
+		defer f.exemptions.begin(f.upstream(i).name)()
+		return impairPath(f.upstream(i).path, i, d)
 	}},
 	{"poisonSent", func(f *fleet, i int, d time.Duration) error { f.sendPoison(i, d); return nil }},
 	{"rulesChanged", func(f *fleet, _ int, _ time.Duration) error { return f.setConfig() }},
@@ -74,24 +75,25 @@
 func (f *fleet) vm(i int) *vm                 { return f.vms[i%len(f.vms)] }
 func (f *fleet) upstream(i int) *upstreamProc { return f.upstreams[i%len(f.upstreams)] }
 
-// poisonEvery is the time between two sendings of the request that ends upstreams.
-const poisonEvery = 60 * time.Millisecond
+// poisonInterval is the time between two poison requests.
+const poisonInterval = 60 * time.Millisecond
 
-// sendPoison sends the request that ends upstreams to one VM after the other for a while,
-// under a new ID each time.
+// sendPoison sends the poison request to one VM after another for d, each time with a new
+// request ID.
 func (f *fleet) sendPoison(first int, d time.Duration) {
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	var wait sync.WaitGroup
 	for i, end := first, time.Now().Add(d); time.Now().Before(end); i++ {
 		wait.Add(1)
 		go (&poisoner{f, client, f.vm(i), &wait}).run()
-		<-time.After(poisonEvery)
+		<-time.After(poisonInterval)
 	}
 	wait.Wait()
 }
 
-// lastPoison sends the request once more to all VMs when all faults are over, where it has
-// ended enough upstreams for them to know it. Else it would only end the fleet's few.
+// lastPoison sends the poison request to all VMs again when all faults are over, if it has
+// crashed enough upstreams to be banned. Otherwise it would only crash the fleet's few
+// upstreams.
 type lastPoison struct {
 	fleet *fleet
 	wait  *sync.WaitGroup
@@ -99,12 +101,12 @@
 
 func (l *lastPoison) run() {
 	defer l.wait.Done()
-	if l.fleet.ledger.poisonRuns() >= poisonEnds {
-		l.fleet.sendPoison(0, calmFor/2)
+	if l.fleet.ledger.poisonRuns() >= poisonCrashes {
+		l.fleet.sendPoison(0, observeTime/2)
 	}
 }
 
-// poisoner sends it once.
+// poisoner sends one poison request.
 type poisoner struct {
 	fleet  *fleet
 	client *http.Client
@@ -122,46 +124,46 @@
 	req.Host = "h"
 	req.Header.Set(platform.Protocol().RequestID, id)
 	req.Header.Set(platform.Protocol().DeadlineMillis, "1500")
-	p.fleet.ledger.poisoned(id, p.vm)
+	p.fleet.ledger.recordPoison(id, p.vm)
 	if resp, err := p.client.Do(req); err == nil {
 		resp.Body.Close()
 	}
 }
 
-func paused(p *process, d time.Duration) error {
+func pauseProcess(p *process, d time.Duration) error {
 	p.signal(syscall.SIGSTOP)
 	<-time.After(d)
 	p.signal(syscall.SIGCONT)
 	return nil
 }
 
-func faulty(p *proxy, i int, d time.Duration) error {
+func impairPath(p *proxy, i int, d time.Duration) error {
 	p.mode.Store(int32(1 + i%(len(modeNames)-1)))
 	<-time.After(d)
 	p.mode.Store(int32(pass))
 	return nil
 }
 
-// chaos injects faults on a schedule that a seed gives.
+// chaos injects faults on a schedule that is determined by a seed.
 type chaos struct {
 	fleet  *fleet
 	rnd    *rand.Rand
 	mu     sync.Mutex
 	names  []string
-	faults []moment
+	faults []injectedFault
 	errs   []error
-	busy   map[string]*sync.Mutex // One fault at a time for each subject.
+	locks  map[string]*sync.Mutex // By subject, so that it has one fault at a time.
 	wait   sync.WaitGroup
 }
 
-// run injects faults until the end and returns when the last is over.
+// run injects faults until end and returns when the last one is over.
 func (c *chaos) run(end time.Time) {
 	for time.Now().Before(end) {
 		f := faults[c.rnd.IntN(len(faults))]
-		which, lasts := c.rnd.IntN(1000), time.Duration(c.rnd.Int64N(int64(faultFor)))
-		pause := time.Duration(c.rnd.ExpFloat64() * float64(faultEvery))
+		which, lasts := c.rnd.IntN(1000), time.Duration(c.rnd.Int64N(int64(maxFaultDuration)))
+		pause := time.Duration(c.rnd.ExpFloat64() * float64(faultInterval))
 		c.names = append(c.names, f.name)
-		c.faults = append(c.faults, moment{f.name, time.Now()})
+		c.faults = append(c.faults, injectedFault{f.name, time.Now()})
 		c.wait.Add(1)
 		go (&injection{c, f, which, lasts}).run()
 		<-time.After(pause)
@@ -169,6 +171,7 @@
 	c.wait.Wait()
 }
 
+// injection is one run of a fault.
 type injection struct {
 	chaos *chaos
 	fault fault
@@ -176,17 +179,17 @@
 	lasts time.Duration
 }
 
-// run waits for an earlier fault of the same subject, then injects this one.
+// run waits until earlier faults of the same subject are over, then injects this one.
 func (i *injection) run() {
 	defer i.chaos.wait.Done()
 	lock := i.chaos.lock(i.fault.name, i.which)
 	lock.Lock()
 	defer lock.Unlock()
-	i.chaos.failed(i.fault.name, i.fault.run(i.chaos.fleet, i.which, i.lasts))
+	i.chaos.recordError(i.fault.name, i.fault.run(i.chaos.fleet, i.which, i.lasts))
 }
 
-// failed notes a fault that could not be injected.
-func (c *chaos) failed(name string, err error) {
+// recordError records that a fault could not be injected.
+func (c *chaos) recordError(name string, err error) {
 	if err == nil {
 		return
 	}
@@ -195,7 +198,7 @@
 	c.errs = append(c.errs, fmt.Errorf("%s: %w", name, err))
 }
 
-// lock returns the lock of what a fault is about.
+// lock returns the lock of a fault's subject.
 func (c *chaos) lock(name string, which int) *sync.Mutex {
 	subject := name
 	switch {
@@ -209,13 +212,13 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.busy[subject] == nil {
-		c.busy[subject] = &sync.Mutex{}
+	if c.locks[subject] == nil {
+		c.locks[subject] = &sync.Mutex{}
 	}
-	return c.busy[subject]
+	return c.locks[subject]
 }
 
-// caller asks all the time, on kept connections, whatever happens to them.
+// caller sends requests continuously on persistent connections, whether or not they fail.
 type caller struct {
 	fleet  *fleet
 	number int
@@ -224,16 +227,16 @@
 	wait   *sync.WaitGroup
 }
 
-// run asks until ctx ends.
+// run sends requests until ctx is done.
 func (c *caller) run(ctx context.Context) {
 	defer c.wait.Done()
 	for n := 0; ctx.Err() == nil; n++ {
 		c.ask(fmt.Sprintf("c%d-%d", c.number, n))
-		<-time.After(time.Duration(c.rnd.ExpFloat64() * float64(callEvery)))
+		<-time.After(time.Duration(c.rnd.ExpFloat64() * float64(callInterval)))
 	}
 }
 
-// ask sends one request. One whose connection cannot be opened was not asked.
+// ask sends one request.
 func (c *caller) ask(id string) {
 	once := c.rnd.IntN(2) == 0
 	method, path, body := http.MethodGet, "/get/1", ""
@@ -241,7 +244,7 @@
 		method, path, body = http.MethodPost, "/post/1", strings.Repeat("x", c.rnd.IntN(30_000))
 	}
 	v := c.fleet.vms[c.rnd.IntN(len(c.fleet.vms))]
-	// A body that cannot be made anew, so that the library sends nothing twice.
+	// The body cannot be rewound, so net/http does not retry the request.
 	req, err := http.NewRequest(method, "http://"+v.front+path, struct{ io.Reader }{strings.NewReader(body)})
 	if err != nil {
 		return
@@ -254,7 +257,7 @@
 	req.Host = "h"
 	req.Header.Set(p.RequestID, id)
 	req.Header.Set(p.DeadlineMillis, "1500")
-	c.fleet.ledger.asked(id, v, once)
+	c.fleet.ledger.recordRequest(id, v, once)
 	resp, err := c.client.Do(req)
 	if err != nil {
 		return
@@ -264,10 +267,10 @@
 	if err != nil {
 		return
 	}
-	c.fleet.ledger.answered(id, resp.StatusCode, string(got) == standin.Answer(id, []byte(body)))
+	c.fleet.ledger.recordResponse(id, resp.StatusCode, string(got) == standin.Answer(id, []byte(body)))
 }
 
-// runSeed plays one seed.
+// runSeed runs one seed and checks its results.
 func runSeed(ctx context.Context, cmd *runCmd, seed uint64) (*result, error) {
 	f, err := startFleet(ctx, cmd)
 	if err != nil {
@@ -277,7 +280,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	began := time.Now()
-	<-time.After(settle / 2)
+	<-time.After(settleTime / 2)
 	var wait sync.WaitGroup
 	for i := range callers {
 		wait.Add(1)
@@ -292,42 +295,42 @@
 		go (&pipeliner{fleet: f, number: i, rnd: rand.New(rand.NewPCG(seed, uint64(3000+i))), wait: &wait}).run(ctx)
 	}
 	wait.Add(1)
-	asks := &prober{fleet: f, rnd: rand.New(rand.NewPCG(seed, 2000)), client: &http.Client{Timeout: 3 * time.Second}, wait: &wait}
-	go asks.run(ctx)
-	ch := &chaos{fleet: f, rnd: rand.New(rand.NewPCG(seed, 1000)), busy: make(map[string]*sync.Mutex)}
+	pr := &prober{fleet: f, rnd: rand.New(rand.NewPCG(seed, 2000)), client: &http.Client{Timeout: 3 * time.Second}, wait: &wait}
+	go pr.run(ctx)
+	ch := &chaos{fleet: f, rnd: rand.New(rand.NewPCG(seed, 1000)), locks: make(map[string]*sync.Mutex)}
 	end := time.Now().Add(cmd.For)
-	says := &notices{fleet: f, chaos: ch, rnd: rand.New(rand.NewPCG(seed, 4000))}
-	var said sync.WaitGroup
+	injector := &noticeInjector{fleet: f, chaos: ch, rnd: rand.New(rand.NewPCG(seed, 4000))}
+	var injecting sync.WaitGroup
 	if cmd.Notices {
-		said.Go(func() { says.run(ctx, end) })
+		injecting.Go(func() { injector.run(ctx, end) })
 	}
 	ch.run(end)
-	said.Wait()
-	calm := time.Now().Add(settle)
+	injecting.Wait()
+	calm := time.Now().Add(settleTime)
 	<-time.After(time.Until(calm))
 	wait.Add(1)
 	go (&lastPoison{f, &wait}).run()
-	<-time.After(calmFor)
+	<-time.After(observeTime)
 	cancel()
 	wait.Wait()
-	<-time.After(time.Second) // For what upstreams still run and report.
+	<-time.After(time.Second) // Upstreams may still run requests and report them.
 	versions := f.versionsSoFar()
-	r := &result{seed: seed, faults: ch.names, began: began, moments: ch.faults, probed: len(asks.probes), versions: len(versions)}
+	r := &result{seed: seed, faults: ch.names, began: began, injected: ch.faults, probed: len(pr.probes), versions: len(versions)}
 	f.ledger.judge(r, calm)
-	r.broken = append(r.broken, f.ledger.judgeNotices(&f.excuses)...)
-	r.broken = append(r.broken, judgeRules(asks.probes, versions)...)
-	r.broken = append(r.broken, f.endedByThemselves()...)
+	r.broken = append(r.broken, f.ledger.judgeNotices(&f.exemptions)...)
+	r.broken = append(r.broken, judgeRules(pr.probes, versions)...)
+	r.broken = append(r.broken, f.unexpectedExits()...)
 	for _, err := range ch.errs {
 		r.broken = append(r.broken, "the soak itself failed: "+err.Error())
 	}
 	if len(r.broken) > 0 && cmd.Logs != "" {
-		return r, f.keepLogs(cmd.Logs, seed)
+		return r, f.saveLogs(cmd.Logs, seed)
 	}
 	return r, nil
 }
 
-// keepLogs saves the VMs' logs of a seed.
-func (f *fleet) keepLogs(dir string, seed uint64) error {
+// saveLogs writes the VMs' logs of a seed to files in a directory under dir.
+func (f *fleet) saveLogs(dir string, seed uint64) error {
 	dir = filepath.Join(dir, fmt.Sprint("seed-", seed))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/tools/soak/fleet.go
+++ b/tools/soak/fleet.go
@@ -19,13 +19,13 @@
 	"auburnlatch/standin/freeport"
 )
 
-// process is one process of the soak's own, started again after it ends.
+// process is a child process that can be restarted.
 type process struct {
 	name string
 	args func() []string
 	out  io.Writer
 
-	lives atomic.Int32
+	starts atomic.Int32
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
@@ -38,26 +38,26 @@
 	cmd := exec.Command(args[0], args[1:]...)
 	cmd.Stdout, cmd.Stderr = p.out, p.out
 	p.cmd = cmd
-	p.lives.Add(1)
+	p.starts.Add(1)
 	return startIgnoringHangup(cmd)
 }
 
-// signal signals the process by the ID it was started with.
+// signal sends a signal to the process that was last started.
 func (p *process) signal(s os.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_ = p.cmd.Process.Signal(s) // One that has ended needs none.
+	_ = p.cmd.Process.Signal(s) // Fails only if the process has exited.
 }
 
-// wait returns when the process has ended.
+// wait waits for the process to exit.
 func (p *process) wait() {
 	p.mu.Lock()
 	cmd := p.cmd
 	p.mu.Unlock()
-	_ = cmd.Wait() // How it ended is the soak's doing.
+	_ = cmd.Wait() // The exit status follows from the signals sent.
 }
 
-// restart sends a signal, waits for the end and starts the process anew.
+// restart sends a signal, waits for the process to exit and starts it again.
 func (p *process) restart(s os.Signal) error {
 	p.signal(s)
 	p.wait()
@@ -72,25 +72,25 @@
 	logs             *lockedBuffer
 }
 
-// upstreamProc is one upstream; each start is a new incarnation.
+// upstreamProc is one upstream process. Each start is a new incarnation.
 type upstreamProc struct {
 	*process
-	path   *proxy
-	listen string
-	lives  int
+	path        *proxy
+	listen      string
+	incarnation int
 }
 
-// fleet is all processes of a seed.
+// fleet is the set of all processes of a seed.
 type fleet struct {
-	dir       string
-	storeAddr string
-	store     *process
-	vms       []*vm
-	upstreams []*upstreamProc
-	ledger    *ledger
-	excuses   excuses
-	poisons   atomic.Int64 // Sent so far.
-	taking    bool         // See proxy.
+	dir          string
+	storeAddr    string
+	store        *process
+	vms          []*vm
+	upstreams    []*upstreamProc
+	ledger       *ledger
+	exemptions   exemptions
+	poisons      atomic.Int64 // Number of poison requests sent.
+	acceptAlways bool         // See proxy.acceptAlways.
 
 	mu       sync.Mutex
 	versions []version
@@ -107,7 +107,7 @@
 	return list, nil
 }
 
-// zoneOf spreads processes over two regions of two zones.
+// zoneOf distributes processes over two regions with two zones each.
 func zoneOf(i int) (zone, region string) {
 	return []string{"n-1", "n-2", "s-1", "s-2"}[i%4], []string{"n", "n", "s", "s"}[i%4]
 }
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{dir: dir, ledger: newLedger(), taking: c.Taking}
+	f := &fleet{dir: dir, ledger: newLedger(), acceptAlways: c.Taking}
 	if f.storeAddr, err = freeport.Addr(); err != nil {
 		return nil, err
 	}
@@ -159,16 +159,16 @@
 	if err != nil {
 		return err
 	}
-	path, err := startProxy(listen, f.taking)
+	path, err := startProxy(listen, f.acceptAlways)
 	if err != nil {
 		return err
 	}
 	u := &upstreamProc{path: path, listen: listen}
 	zone, _ := zoneOf(i)
-	u.process = &process{name: fmt.Sprint("upstream-", i), out: &lineWriter{take: f.ledger.ran}, args: func() []string {
-		u.lives++
+	u.process = &process{name: fmt.Sprint("upstream-", i), out: &lineWriter{take: f.ledger.parseLine}, args: func() []string {
+		u.incarnation++
 		return []string{
-			os.Args[0], "upstream", "--id", fmt.Sprintf("i-%d-%d", i, u.lives), "--service", "s", "--zone", zone, "--addr", path.addr(),
+			os.Args[0], "upstream", "--id", fmt.Sprintf("i-%d-%d", i, u.incarnation), "--service", "s", "--zone", zone, "--addr", path.addr(),
 			"--listen", listen, "--store", f.storeAddr, "--cut-share", "0.01", "--fail-share", "0.01",
 		}
 	}}
@@ -201,21 +201,21 @@
 	return v.start()
 }
 
-// setConfig writes the next version of the rules. One that is not accepted may
-// have been written all the same, so its number is not used again.
+// setConfig writes the next version of the rules. If it fails, the version may have been
+// written nevertheless, so its number is not reused.
 func (f *fleet) setConfig() error {
 	f.mu.Lock()
-	v := version{number: len(f.versions) + 1, begun: time.Now()}
+	v := version{number: len(f.versions) + 1, started: time.Now()}
 	f.versions = append(f.versions, v)
 	f.mu.Unlock()
 	err := f.operator().Configure(v.number)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.versions[v.number-1].settled = time.Now()
+	f.versions[v.number-1].accepted = time.Now()
 	return err
 }
 
-// versionsSoFar returns the versions of the rules up to now.
+// versionsSoFar returns the versions of the rules written so far.
 func (f *fleet) versionsSoFar() []version {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -224,8 +224,8 @@
 
 func (f *fleet) operator() standin.Operator { return standin.Operator{Store: f.storeAddr} }
 
-// endedByThemselves returns what VMs said that ended without being told to.
-func (f *fleet) endedByThemselves() []string {
+// unexpectedExits returns the errors with which VMs exited without having been signaled.
+func (f *fleet) unexpectedExits() []string {
 	var list []string
 	for _, v := range f.vms {
 		for line := range strings.Lines(v.logs.String()) {
@@ -237,7 +237,7 @@
 	return list
 }
 
-// stop ends all processes of the soak, and only them.
+// stop kills the fleet's processes and removes its files.
 func (f *fleet) stop() {
 	all := []*process{f.store}
 	for _, v := range f.vms {
@@ -254,7 +254,7 @@
 	os.RemoveAll(f.dir)
 }
 
-// lockedBuffer keeps a process's output, which is read while it writes.
+// lockedBuffer stores a process's output. It is safe for concurrent use.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -266,14 +266,14 @@
 	return b.buf.Write(p)
 }
 
-// String returns what was written so far.
+// String returns the output so far.
 func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buf.String()
 }
 
-// lineWriter gives whole lines on.
+// lineWriter passes complete lines to take.
 type lineWriter struct {
 	take func(line string)
 	rest []byte
--- a/tools/soak/hangup.go
+++ b/tools/soak/hangup.go
@@ -7,11 +7,13 @@
 	"syscall"
 )
 
-// hangupMu is held while SIGHUP is ignored: the disposition is the whole process's.
+// hangupMu is held while SIGHUP is ignored, since the disposition applies to the whole
+// process.
 var hangupMu sync.Mutex
 
-// startIgnoringHangup starts a command with SIGHUP ignored, as operators do with nohup: the
-// disposition outlives exec, so a signal does not end the process before it asks for it.
+// startIgnoringHangup starts a command with SIGHUP ignored, as nohup does. The disposition is
+// inherited through exec, so that a SIGHUP does not kill the process before it installs its
+// handler.
 func startIgnoringHangup(cmd *exec.Cmd) error {
 	hangupMu.Lock()
 	defer hangupMu.Unlock()
--- a/tools/soak/ledger.go
+++ b/tools/soak/ledger.go
@@ -9,35 +9,35 @@
 	"time"
 )
 
-// entry is what is known of one request.
+// entry is what callers and upstreams observed of one request.
 type entry struct {
-	once   bool // Must run at most once.
-	probe  bool // Asks which rules are in force; 404 is a right answer.
-	poison bool // Ends each upstream that runs it.
-	status int  // 0: no whole answer.
-	whole  bool // The answer is the request's own and whole.
-	got    int  // Arrivals at upstreams, refused ones included.
-	ran    int
-	late   bool
-	left   bool // Its caller left, or it stood unread behind an answer that closes.
-	at     time.Time
-	// vm is the VM that was asked, and process its process at that moment.
+	atMostOnce bool // Must run at most once.
+	probe      bool // Probes the rules in force; 404 is a valid response.
+	poison     bool // Crashes each upstream that runs it.
+	status     int  // 0 if no complete response was received.
+	intact     bool // The response is complete and belongs to the request.
+	arrivals   int  // Arrivals at upstreams, including refused ones.
+	ran        int
+	late       bool
+	canceled   bool // The caller left, or the request followed a response that closed the connection.
+	at         time.Time
+	// vm is the VM that received the request, and process its process at that time.
 	vm, process string
 }
 
-// ledger has all requests, from what callers and upstreams saw.
+// ledger records all requests as observed by callers and upstreams.
 type ledger struct {
 	mu      sync.Mutex
 	entries map[string]*entry
-	// repeats are the arrivals beyond the first of each request.
+	// repeats are the times of arrivals after the first one of each request.
 	repeats []time.Time
-	// other is what upstreams wrote besides: why they ended, if by themselves.
-	other []string
-	heard map[string]*heard // By upstreams' incarnations.
+	// unexpected is the other output of upstreams, such as the error of an unexpected exit.
+	unexpected []string
+	upstreams  map[string]*exchange // By incarnation.
 }
 
 func newLedger() *ledger {
-	return &ledger{entries: make(map[string]*entry), heard: make(map[string]*heard)}
+	return &ledger{entries: make(map[string]*entry), upstreams: make(map[string]*exchange)}
 }
 
 func (l *ledger) entry(id string) *entry {
@@ -49,32 +49,32 @@
 	return e
 }
 
-// asked notes a request before it is sent.
-func (l *ledger) asked(id string, v *vm, once bool) {
+// recordRequest records a request before it is sent.
+func (l *ledger) recordRequest(id string, v *vm, once bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entry(id)
-	e.once, e.at = once, time.Now()
-	e.vm, e.process = v.name, fmt.Sprint(v.name, "/", v.lives.Load())
+	e.atMostOnce, e.at = once, time.Now()
+	e.vm, e.process = v.name, fmt.Sprint(v.name, "/", v.starts.Load())
 }
 
-// probed notes a question which rules are in force, before it is sent.
-func (l *ledger) probed(id string, v *vm) {
-	l.asked(id, v, false)
+// recordProbe records a probe of the rules in force before it is sent.
+func (l *ledger) recordProbe(id string, v *vm) {
+	l.recordRequest(id, v, false)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.entry(id).probe = true
 }
 
-// poisoned notes a request that ends upstreams, before it is sent.
-func (l *ledger) poisoned(id string, v *vm) {
-	l.probed(id, v)
+// recordPoison records a poison request before it is sent.
+func (l *ledger) recordPoison(id string, v *vm) {
+	l.recordProbe(id, v)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.entry(id).poison = true
 }
 
-// poisonRuns returns how many upstreams have begun to run such a request.
+// poisonRuns returns how often upstreams have started to run a poison request.
 func (l *ledger) poisonRuns() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,48 +86,48 @@
 	return n
 }
 
-// left notes requests whose answers nobody is owed.
-func (l *ledger) left(ids []string) {
+// recordCanceled records requests whose caller no longer waits for a response.
+func (l *ledger) recordCanceled(ids []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, id := range ids {
-		l.entry(id).left = true
+		l.entry(id).canceled = true
 	}
 }
 
-// answered notes what the caller got.
-func (l *ledger) answered(id string, status int, whole bool) {
+// recordResponse records the response that the caller received.
+func (l *ledger) recordResponse(id string, status int, intact bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entry(id)
-	e.status, e.whole = status, whole
+	e.status, e.intact = status, intact
 }
 
-// ran takes in a line of an upstream.
-func (l *ledger) ran(line string) {
+// parseLine records a line of an upstream's output.
+func (l *ledger) parseLine(line string) {
 	what, id, _ := strings.Cut(line, " ")
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch what {
 	case "Got":
 		id, rest, _ := strings.Cut(id, " ")
-		l.took(id, rest)
+		l.recordArrival(id, rest)
 		e := l.entry(id)
-		if e.got++; e.got > 1 {
+		if e.arrivals++; e.arrivals > 1 {
 			l.repeats = append(l.repeats, time.Now())
 		}
 	case "Ran":
 		l.entry(id).ran++
 	case "Said":
-		l.tell(id)
+		l.recordNotice(id)
 	case "Late":
 		l.entry(id).late = true
 	default:
-		l.other = append(l.other, line)
+		l.unexpected = append(l.unexpected, line)
 	}
 }
 
-// result is what a seed has shown.
+// result is the outcome of a seed.
 type result struct {
 	seed              uint64
 	requests, served  int
@@ -138,18 +138,18 @@
 	lastAsked, lastOK int
 
 	probed, versions, sentAgain int
-	poisoned                    int // Runs of the request that ends upstreams.
+	poisoned                    int // Runs of poison requests.
 	began                       time.Time
-	moments                     []moment
+	injected                    []injectedFault
 	seconds                     []second
 }
 
-// recoveryShare is the least part of requests that must be served once all
-// faults are over.
+// recoveryShare is the smallest fraction of requests that must be served after all faults
+// are over.
 const recoveryShare = 0.9
 
-// judge checks the promises. calm is when all faults had been over for long
-// enough.
+// judge checks the guarantees. calm is the time after which the fleet must have recovered
+// from all faults.
 func (l *ledger) judge(r *result, calm time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -174,16 +174,16 @@
 			r.failed++
 		}
 		r.repeated += max(0, e.ran-1)
-		if e.status == 200 && !e.whole {
+		if e.status == 200 && !e.intact {
 			broke("an answer was not whole or not the request's own", id)
 		}
 		if e.status == 200 && e.ran == 0 {
 			broke("an answer came though nothing ran", id)
 		}
-		if e.once && e.ran > 1 {
+		if e.atMostOnce && e.ran > 1 {
 			broke(fmt.Sprintf("ran %d times and may run once", e.ran), id)
 		}
-		if e.once && (e.status == 503 || e.status == 429) && e.ran > 0 {
+		if e.atMostOnce && (e.status == 503 || e.status == 429) && e.ran > 0 {
 			broke("refused as not run, and ran", id)
 		}
 		if e.status == 404 {
@@ -192,7 +192,7 @@
 		if e.late {
 			broke("reached an upstream long after it had said that it leaves", id)
 		}
-		if e.at.After(calm) && !e.left {
+		if e.at.After(calm) && !e.canceled {
 			r.lastAsked++
 			if e.status == 200 {
 				r.lastOK++
@@ -205,20 +205,21 @@
 	}
 	r.sentAgain, r.seconds = len(l.repeats), l.bySeconds(r.began)
 	r.broken = append(r.broken, judgeRetries(requests, l.repeats)...)
-	for _, line := range l.other {
+	for _, line := range l.unexpected {
 		r.broken = append(r.broken, "an upstream wrote: "+line)
 	}
 	slices.Sort(r.broken)
 }
 
-// Once a request has ended three upstreams it must not be sent on. How soon all VMs know
-// depends on the faults; once these are over they must, wherever it comes back.
+// A request that has crashed poisonCrashes upstreams must no longer be sent to any. How soon
+// all VMs know this depends on the faults. After these are over all VMs must know it, so at
+// most maxLatePoison poison requests may reach upstreams.
 const (
-	poisonEnds  = 3
-	poisonAfter = 3
+	poisonCrashes = 3
+	maxLatePoison = 3
 )
 
-// judgePoison checks how often the request that ends upstreams reached any.
+// judgePoison checks how often poison requests reached upstreams after calm.
 func (l *ledger) judgePoison(r *result, calm time.Time) (broken []string) {
 	late := 0
 	for _, e := range l.entries {
@@ -227,10 +228,10 @@
 		}
 		r.poisoned += e.ran
 		if e.at.After(calm) {
-			late += e.got
+			late += e.arrivals
 		}
 	}
-	if r.poisoned-late >= poisonEnds && late > poisonAfter {
+	if r.poisoned-late >= poisonCrashes && late > maxLatePoison {
 		broken = append(broken, fmt.Sprintf("a request under which %d upstreams had ended reached upstreams %d times more after all faults were over", r.poisoned-late, late))
 	}
 	return broken
--- a/tools/soak/main.go
+++ b/tools/soak/main.go
@@ -1,16 +1,17 @@
-// Command soak runs the real entry daemon under random faults and checks the
-// promises from what callers and upstreams see.
+// Command soak runs the real entry daemon under random faults and checks its
+// guarantees by what callers and upstreams observe.
 //
 // Usage:
 //
 //	soak run --daemon bin/auburnlatch-entry [--seed N] [--seeds 5] [--for 20s]
 //
-// VMs, a stand-in of the platform's store and stand-in upstreams are separate
-// processes on loopback. Faults come from outside: signals that kill, stop,
-// continue, terminate and reload; proxies that delay, reset, silence and cut one
-// way what goes to the store and to upstreams. They come in series and overlap.
-// A seed gives the same schedule of faults each time. Exit code 1: a promise
-// was broken; the seed is printed. It ends only processes that it has started.
+// The VMs, a stand-in for the platform's store and stand-in upstreams are separate
+// processes on loopback. Faults are injected from outside the daemon: signals that
+// kill, suspend, resume, terminate and reload processes, and proxies in front of
+// the store and the upstreams that delay or drop data, drop it in one direction,
+// or reset connections. Faults follow each other at random and may overlap. A seed
+// determines the schedule of faults. Exit code 1 means that a guarantee was broken;
+// the seed is printed. The command kills only processes that it has started.
 package main
 
 import (
@@ -36,18 +37,18 @@
 
 type runCmd struct {
 	Daemon    string        `help:"The daemon to run." required:"" type:"existingfile"`
-	Seed      uint64        `help:"The first seed; 0: one of this moment."`
-	Seeds     int           `help:"How many seeds to run." default:"1"`
+	Seed      uint64        `help:"The first seed; 0 selects one by the current time."`
+	Seeds     int           `help:"Seeds to run." default:"1"`
 	For       time.Duration `help:"How long faults are injected." default:"15s"`
-	VMs       int           `help:"VMs." default:"6" name:"vms"`
-	Upstreams int           `help:"Upstreams." default:"8"`
-	Taking    bool          `help:"The ways to upstreams take connections also when the upstream has ended, and reset them."`
-	Notices   bool          `help:"Upstreams say of themselves what they take."`
-	Plots     string        `help:"Where to draw a timeline of each seed." type:"path"`
-	Logs      string        `help:"Where to keep the VMs' logs of seeds that fail." type:"path"`
+	VMs       int           `help:"VMs to run." default:"6" name:"vms"`
+	Upstreams int           `help:"Upstreams to run." default:"8"`
+	Taking    bool          `help:"The proxies to upstreams accept connections also when the upstream is down, and reset them."`
+	Notices   bool          `help:"Upstreams announce limits, pauses and that they leave."`
+	Plots     string        `help:"Directory for a timeline of each seed." type:"path"`
+	Logs      string        `help:"Directory for the VMs' logs of seeds that fail." type:"path"`
 }
 
-// Run runs the seeds one after the other.
+// Run runs the seeds in sequence.
 func (c *runCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -92,7 +93,7 @@
 	CutShare, FailShare                    float64
 }
 
-// Run serves until SIGTERM, then drains.
+// Run serves until SIGTERM, then drains. After a crash it starts the next incarnation.
 func (c *upstreamCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
@@ -104,12 +105,12 @@
 		if !errors.Is(err, standin.ErrEnded) {
 			return err
 		}
-		<-time.After(backAfter)
+		<-time.After(restartDelay)
 	}
 }
 
-// backAfter is how long an upstream is away that ended under a request.
-const backAfter = time.Second
+// restartDelay is the time between an upstream's crash and its restart.
+const restartDelay = time.Second
 
 func main() {
 	var c cli
--- a/tools/soak/mutants.sh
+++ b/tools/soak/mutants.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Checks that the soak finds faults: each mutant is a copy of the sources with one
-# guard taken out, on which some seed must break a promise. By hand; some minutes.
+# Mutation tests of the soak: each mutant is a copy of the sources with one safeguard
+# removed, with which at least one seed must break a guarantee. Run it by hand; it takes
+# some minutes.
 set -eu
 cd "$(dirname "$0")/../.."
 soak=$PWD/bin/soak
@@ -8,7 +9,8 @@
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 
-# mutant NAME FILE SED: the daemon built with one line changed.
+# mutant NAME FILE SED builds the daemon with one line of FILE changed by the sed command
+# SED and runs four seeds with it.
 mutant() {
 	local dir=$work/$1
 	mkdir "$dir"
--- a/tools/soak/notices.go
+++ b/tools/soak/notices.go
@@ -15,82 +15,83 @@
 	"auburnlatch/platform/standin"
 )
 
-// What upstreams say of themselves, and what may reach them then.
+// What upstreams announce in their responses, and what they may receive afterwards.
 const (
-	// noticeEvery is the mean time between two upstreams that begin to say something.
-	noticeEvery = 1500 * time.Millisecond
-	// limitWindow is the span over which an upstream that names a limit counts. It bears
-	// half again as much, and limitSlack requests more.
-	limitWindow = 4 * time.Second
-	limitExcess = 1.5
-	limitSlack  = 5
-	limitNamed  = 4
-	// leaveWithin is the bound after which an upstream that leaves gets nothing new.
+	// noticeInterval is the mean time between the starts of two announcements.
+	noticeInterval = 1500 * time.Millisecond
+	// limitWindow is the window over which requests are counted against an upstream's
+	// limit. The limit may be exceeded by the factor limitExcess, plus limitSlack requests.
+	limitWindow    = 4 * time.Second
+	limitExcess    = 1.5
+	limitSlack     = 5
+	announcedLimit = 4
+	// leaveWithin is the time after which a leaving upstream must receive no new requests.
 	leaveWithin = 2500 * time.Millisecond
-	// pauseFor is for how long upstreams want to be left alone, and maxInPause how many
-	// requests a VM may send in it.
-	pauseFor   = 1500 * time.Millisecond
-	maxInPause = 2
-	// knownAfter is when a VM has to know what an answer that it passed on said.
-	knownAfter = 500 * time.Millisecond
-	// excusedFor is how long after a pause or a path's fault nothing is held against a VM or
-	// an upstream: what was held up arrives at once.
-	excusedFor = 4 * time.Second
+	// pauseDuration is the pause that upstreams ask for with Retry-After, and maxInPause
+	// how many requests a VM may send during it.
+	pauseDuration = 1500 * time.Millisecond
+	maxInPause    = 2
+	// noticeDelay is the time after which a VM must act on a response that it forwarded.
+	noticeDelay = 500 * time.Millisecond
+	// exemptFor is how long a VM or an upstream is exempt from checks after it was suspended
+	// or its path was impaired, since delayed requests then arrive in a burst.
+	exemptFor = 4 * time.Second
 )
 
-// notices has upstreams say things of themselves, on a schedule that a seed gives.
-type notices struct {
+// noticeInjector makes upstreams announce things, on a schedule determined by a seed.
+type noticeInjector struct {
 	fleet *fleet
 	chaos *chaos
 	rnd   *rand.Rand
 	wait  sync.WaitGroup
 }
 
-// run has upstreams say things until the end and returns when none says any more.
-func (n *notices) run(ctx context.Context, end time.Time) {
+// run makes upstreams announce things until end and returns when the last announcement is
+// over.
+func (n *noticeInjector) run(ctx context.Context, end time.Time) {
 	for time.Now().Before(end) && ctx.Err() == nil {
 		which := n.rnd.IntN(1000)
 		u := n.fleet.upstream(which)
 		switch n.rnd.IntN(3) {
 		case 0:
-			n.wait.Go(func() { u.limited(ctx, excusedFor+faultFor) })
+			n.wait.Go(func() { u.announceLimit(ctx, exemptFor+maxFaultDuration) })
 		case 1:
 			n.wait.Go(func() { n.leaving(ctx, which) })
 		case 2:
-			n.wait.Go(func() { u.pausing(ctx, excusedFor) })
+			n.wait.Go(func() { u.announcePause(ctx, exemptFor) })
 		}
-		<-time.After(time.Duration(n.rnd.ExpFloat64() * float64(noticeEvery)))
+		<-time.After(time.Duration(n.rnd.ExpFloat64() * float64(noticeInterval)))
 	}
 	n.wait.Wait()
 }
 
-// limited has the upstream name a limit for a while.
-func (u *upstreamProc) limited(ctx context.Context, d time.Duration) {
-	u.say(ctx, "limit", strconv.Itoa(limitNamed))
+// announceLimit makes the upstream announce a limit for d.
+func (u *upstreamProc) announceLimit(ctx context.Context, d time.Duration) {
+	u.setNotice(ctx, "limit", strconv.Itoa(announcedLimit))
 	<-time.After(d)
-	u.say(ctx, "limit", "")
+	u.setNotice(ctx, "limit", "")
 }
 
-// pausing has the upstream turn all requests away for a while and ask for pauses.
-func (u *upstreamProc) pausing(ctx context.Context, d time.Duration) {
-	u.say(ctx, "pause", strconv.FormatFloat(pauseFor.Seconds(), 'f', -1, 64))
+// announcePause makes the upstream refuse all requests for d and ask for pauses.
+func (u *upstreamProc) announcePause(ctx context.Context, d time.Duration) {
+	u.setNotice(ctx, "pause", strconv.FormatFloat(pauseDuration.Seconds(), 'f', -1, 64))
 	<-time.After(d)
-	u.say(ctx, "pause", "")
+	u.setNotice(ctx, "pause", "")
 }
 
-// leaving has an upstream say that it leaves, and ends it after a while.
-func (n *notices) leaving(ctx context.Context, which int) {
+// leaving makes an upstream announce that it is leaving, and kills it later.
+func (n *noticeInjector) leaving(ctx context.Context, which int) {
 	lock := n.chaos.lock("upstream", which)
 	lock.Lock()
 	defer lock.Unlock()
 	u := n.fleet.upstream(which)
-	u.say(ctx, "leaving", "1")
-	<-time.After(leaveWithin + faultFor)
-	n.chaos.failed("leaving", u.restart(syscall.SIGKILL))
+	u.setNotice(ctx, "leaving", "1")
+	<-time.After(leaveWithin + maxFaultDuration)
+	n.chaos.recordError("leaving", u.restart(syscall.SIGKILL))
 }
 
-// say tells the upstream what to say of itself. One that is down says nothing.
-func (u *upstreamProc) say(ctx context.Context, what, value string) {
+// setNotice sets what the upstream announces. It does nothing if the upstream is down.
+func (u *upstreamProc) setNotice(ctx context.Context, what, value string) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s%s?%s=%s", u.listen, standin.SayPath, what, value), http.NoBody)
@@ -102,17 +103,18 @@
 	}
 }
 
-// span is a time in which something was not itself.
+// span is a time span.
 type span struct{ from, to time.Time }
 
-// excuses are the spans for which VMs and upstreams are excused, by name.
-type excuses struct {
+// exemptions are the spans in which VMs and upstreams are exempt from checks, by name.
+type exemptions struct {
 	mu    sync.Mutex
 	spans map[string][]span
 }
 
-// begin excuses a process from now on; the function returned ends that.
-func (e *excuses) begin(name string) (end func()) {
+// begin exempts a process from now on. The exemption lasts until exemptFor after a call of
+// end.
+func (e *exemptions) begin(name string) (end func()) {
 	from := time.Now()
 	return func() {
 		e.mu.Lock()
@@ -120,85 +122,86 @@
 		if e.spans == nil {
 			e.spans = make(map[string][]span)
 		}
-		e.spans[name] = append(e.spans[name], span{from, time.Now().Add(excusedFor)})
+		e.spans[name] = append(e.spans[name], span{from, time.Now().Add(exemptFor)})
 	}
 }
 
-// at reports whether a process is excused at a moment.
-func (e *excuses) at(name string, at time.Time) bool {
+// at reports whether a process is exempt at the given time.
+func (e *exemptions) at(name string, at time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.ContainsFunc(e.spans[name], func(s span) bool { return !at.Before(s.from) && !at.After(s.to) })
 }
 
-// said is something that an upstream said of itself to a VM.
-type said struct {
+// notice is an announcement of an upstream to a VM.
+type notice struct {
 	what  string
 	value float64
 	at    time.Time
 }
 
-// arrival is a request at an upstream.
+// arrival is the arrival of a request at an upstream.
 type arrival struct {
 	at time.Time
 	e  *entry
 }
 
-// heard is what passed between the VMs and one incarnation of an upstream.
-type heard struct {
+// exchange records the requests to one incarnation of an upstream and its announcements.
+type exchange struct {
 	arrivals []arrival
-	said     map[string][]said // By process of a VM.
+	said     map[string][]notice // By the VM's process.
 }
 
-// upstream returns what passed between VMs and an incarnation.
-func (l *ledger) upstream(name string) *heard {
-	h := l.heard[name]
+// upstreamLog returns the record of an incarnation.
+func (l *ledger) upstreamLog(name string) *exchange {
+	h := l.upstreams[name]
 	if h == nil {
-		h = &heard{said: make(map[string][]said)}
-		l.heard[name] = h
+		h = &exchange{said: make(map[string][]notice)}
+		l.upstreams[name] = h
 	}
 	return h
 }
 
-// took notes that a request arrived at an incarnation of an upstream: the upstream and when, by
-// the upstream's clock. Lines may be read later than they are written.
-func (l *ledger) took(id, line string) {
+// recordArrival records the arrival of a request from the rest of a Got line: the upstream's
+// incarnation and the time by the upstream's clock. Lines may be read later than they are
+// written.
+func (l *ledger) recordArrival(id, line string) {
 	var upstream string
 	var nanos int64
 	if _, err := fmt.Sscan(line, &upstream, &nanos); err != nil {
-		l.other = append(l.other, line)
+		l.unexpected = append(l.unexpected, line)
 		return
 	}
-	h := l.upstream(upstream)
+	h := l.upstreamLog(upstream)
 	h.arrivals = append(h.arrivals, arrival{time.Unix(0, nanos), l.entry(id)})
 }
 
-// tell takes in what an upstream said in its answer to a request: its ID, the upstream, what, a
-// value and when.
-func (l *ledger) tell(line string) {
+// recordNotice records an announcement from the rest of a Said line: the request's ID, the
+// upstream's incarnation, the kind, the value and the time.
+func (l *ledger) recordNotice(line string) {
 	var id, upstream string
-	var s said
+	var s notice
 	var nanos int64
 	if _, err := fmt.Sscan(line, &id, &upstream, &s.what, &s.value, &nanos); err != nil {
-		l.other = append(l.other, line)
+		l.unexpected = append(l.unexpected, line)
 		return
 	}
 	s.at = time.Unix(0, nanos)
-	h, vm := l.upstream(upstream), l.entry(id).process
+	h, vm := l.upstreamLog(upstream), l.entry(id).process
 	h.said[vm] = append(h.said[vm], s)
 }
 
-// judgeNotices checks what reached upstreams that said something of themselves.
-func (l *ledger) judgeNotices(x *excuses) (broken []string) {
+// judgeNotices checks what upstreams received after their announcements.
+func (l *ledger) judgeNotices(x *exemptions) (broken []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for name, h := range l.heard {
+	for name, h := range l.upstreams {
 		if n := h.overLimit(x, upstreamOf(name)); n > 0 {
-			broken = append(broken, fmt.Sprintf("upstream %s named a limit of %d a second and got %d requests in %v", name, limitNamed, n, limitWindow))
+			broken = append(broken, fmt.Sprintf("upstream %s named a limit of %d a second and got %d requests in %v", name, announcedLimit, n, limitWindow))
 		}
 		if n, vm, at := h.inPause(x, upstreamOf(name)); n > 0 {
 			broken = append(broken, fmt.Sprintf("upstream %s asked %s for a pause of %v at %s and got %d requests of it",
-				name, vm, pauseFor, at.Format("15:04:05.000"), n))
+				name, vm, pauseDuration, at.Format("15:04:05.000"), n))
 		}
 		if n := h.afterLeaving(x); n > 0 {
 			broken = append(broken, fmt.Sprintf("upstream %s said that it leaves and got %d requests of VMs that it had told", name, n))
@@ -208,7 +211,7 @@
 	return broken
 }
 
-// upstreamOf is the name of the process of an incarnation.
+// upstreamOf returns the name of an incarnation's process.
 func upstreamOf(incarnation string) string {
 	f := strings.Split(incarnation, "-")
 	if len(f) < 2 {
@@ -217,10 +220,11 @@
 	return "upstream-" + f[1]
 }
 
-// overLimit returns the most requests in a window that are more than the limit allows, 0 if
-// none are: of those that arrived within a time in which the upstream named it, of VMs that
-// had heard it, later than a window after it was first named.
-func (h *heard) overLimit(x *excuses, upstream string) int {
+// overLimit returns the largest number of requests in a window if it exceeds the limit,
+// otherwise 0. It counts requests that arrived while the upstream announced the limit, from
+// VMs that had received it. Windows that end earlier than limitWindow after the first
+// announcement do not count.
+func (h *exchange) overLimit(x *exemptions, upstream string) int {
 	var first, last time.Time
 	for _, list := range h.said {
 		for _, s := range list {
@@ -234,7 +238,7 @@
 	}
 	var bound []time.Time
 	for _, a := range h.arrivals {
-		if h.told(a) && !a.at.After(last) && !x.at(upstream, a.at) && !x.at(a.e.vm, a.at) {
+		if h.knowsLimit(a) && !a.at.After(last) && !x.at(upstream, a.at) && !x.at(a.e.vm, a.at) {
 			bound = append(bound, a.at)
 		}
 	}
@@ -248,17 +252,17 @@
 			most = max(most, i-from+1)
 		}
 	}
-	if float64(most) <= limitExcess*limitNamed*limitWindow.Seconds()+limitSlack {
+	if float64(most) <= limitExcess*announcedLimit*limitWindow.Seconds()+limitSlack {
 		return 0
 	}
 	return most
 }
 
-// afterLeaving returns how many requests arrived that were made later than leaveWithin after
-// their VM had passed on that the upstream leaves.
-func (h *heard) afterLeaving(x *excuses) (n int) {
+// afterLeaving returns how many requests arrived that callers sent later than leaveWithin
+// after the VM had received the announcement that the upstream is leaving.
+func (h *exchange) afterLeaving(x *exemptions) (n int) {
 	for _, a := range h.arrivals {
-		late := slices.ContainsFunc(h.said[a.e.process], func(s said) bool {
+		late := slices.ContainsFunc(h.said[a.e.process], func(s notice) bool {
 			return s.what == "leaving" && a.e.at.Sub(s.at) > leaveWithin
 		})
 		if late && !x.at(a.e.vm, a.at) {
@@ -268,15 +272,15 @@
 	return n
 }
 
-// inPause returns the most requests of one VM's process in a pause that it was asked for at a
-// moment, 0 if none are more than it may send.
-func (h *heard) inPause(x *excuses, upstream string) (most int, vm string, at time.Time) {
+// inPause returns the largest number of requests that a VM's process sent in a pause, the
+// process, and the time of the announcement. The number is 0 if none exceeds maxInPause.
+func (h *exchange) inPause(x *exemptions, upstream string) (most int, vm string, at time.Time) {
 	for process, list := range h.said {
 		for _, s := range list {
 			if s.what != "pause" {
 				continue
 			}
-			from, to := s.at.Add(knownAfter), s.at.Add(time.Duration(s.value*float64(time.Second)))
+			from, to := s.at.Add(noticeDelay), s.at.Add(time.Duration(s.value*float64(time.Second)))
 			n := 0
 			for _, a := range h.arrivals {
 				if a.e.process == process && a.at.After(from) && a.at.Before(to) && !x.at(a.e.vm, a.at) && !x.at(upstream, a.at) {
@@ -291,9 +295,10 @@
 	return most, vm, at
 }
 
-// told reports whether the VM that sent a request had heard of a limit long enough before.
-func (h *heard) told(a arrival) bool {
-	return slices.ContainsFunc(h.said[a.e.process], func(s said) bool {
-		return s.what == "limit" && a.at.Sub(s.at) >= knownAfter
+// knowsLimit reports whether the VM that sent a request had received a limit at least
+// noticeDelay before.
+func (h *exchange) knowsLimit(a arrival) bool {
+	return slices.ContainsFunc(h.said[a.e.process], func(s notice) bool {
+		return s.what == "limit" && a.at.Sub(s.at) >= noticeDelay
 	})
 }
--- a/tools/soak/pipeline.go
+++ b/tools/soak/pipeline.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// pipeliners are callers that send requests behind one another.
+	// pipeliners is the number of callers that pipeline requests.
 	pipeliners = 3
-	// maxPipelined is how many they send before they read.
+	// maxPipelined is the largest number of requests sent before a response is read.
 	maxPipelined = 5
-	// pipelineWithin bounds one such connection.
-	pipelineWithin = 4 * time.Second
+	// pipelineTimeout is the time limit of one such connection.
+	pipelineTimeout = 4 * time.Second
 )
 
-// pipeliner sends look-ups behind one another on a connection and checks that the
-// answers come in their order.
+// pipeliner sends pipelined GET requests on a connection and checks that the responses
+// arrive in order.
 type pipeliner struct {
 	fleet  *fleet
 	number int
@@ -34,17 +34,17 @@
 	wait   *sync.WaitGroup
 }
 
-// run asks until ctx ends.
+// run sends requests until ctx is done.
 func (p *pipeliner) run(ctx context.Context) {
 	defer p.wait.Done()
 	for n := 0; ctx.Err() == nil; n++ {
 		p.ask(fmt.Sprintf("l%d-%d", p.number, n))
-		<-time.After(time.Duration(p.rnd.ExpFloat64() * float64(callEvery)))
+		<-time.After(time.Duration(p.rnd.ExpFloat64() * float64(callInterval)))
 	}
 }
 
-// ask opens a connection for some requests. What is behind an answer that closes the
-// connection, or that the caller leaves unread, has no answer.
+// ask opens a connection and sends some requests. Requests after a response that closes
+// the connection, and those that the caller does not wait for, receive no response.
 func (p *pipeliner) ask(name string) {
 	v := p.fleet.vms[p.rnd.IntN(len(p.fleet.vms))]
 	conn, err := net.DialTimeout("tcp", v.front, time.Second)
@@ -52,7 +52,7 @@
 		return
 	}
 	defer conn.Close()
-	if conn.SetDeadline(time.Now().Add(pipelineWithin)) != nil {
+	if conn.SetDeadline(time.Now().Add(pipelineTimeout)) != nil {
 		return
 	}
 	ids := make([]string, 1+p.rnd.IntN(maxPipelined))
@@ -61,14 +61,14 @@
 		ids[i] = fmt.Sprint(name, "-", i)
 		names := platform.Protocol()
 		fmt.Fprintf(&text, "GET /get/1 HTTP/1.1\r\nHost: h\r\n%s: %s\r\n%s: 1500\r\n\r\n", names.RequestID, ids[i], names.DeadlineMillis)
-		p.fleet.ledger.asked(ids[i], v, false)
+		p.fleet.ledger.recordRequest(ids[i], v, false)
 	}
 	if _, err := io.WriteString(conn, text.String()); err != nil {
 		return
 	}
 	r := bufio.NewReader(conn)
-	stay := p.rnd.IntN(len(ids) + 1) // Some callers leave early.
-	p.fleet.ledger.left(ids[stay:])
+	stay := p.rnd.IntN(len(ids) + 1) // Some callers close the connection early.
+	p.fleet.ledger.recordCanceled(ids[stay:])
 	for i, id := range ids[:stay] {
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
@@ -79,9 +79,9 @@
 		if err != nil {
 			return
 		}
-		p.fleet.ledger.answered(id, resp.StatusCode, string(got) == standin.Answer(id, nil))
+		p.fleet.ledger.recordResponse(id, resp.StatusCode, string(got) == standin.Answer(id, nil))
 		if resp.Close {
-			p.fleet.ledger.left(ids[i+1:])
+			p.fleet.ledger.recordCanceled(ids[i+1:])
 			return
 		}
 	}
--- a/tools/soak/probe.go
+++ b/tools/soak/probe.go
@@ -15,34 +15,34 @@
 )
 
 const (
-	// probeEvery is the time between two questions which rules are in force.
-	probeEvery = 40 * time.Millisecond
-	// inForceAfter is when rules must be in force on a VM that runs: two seconds of
-	// a pause, two of a faulty path to the store, and the time that the word takes
-	// from VM to VM, with as much to spare.
-	inForceAfter = 7 * time.Second
-	// backSlack is how much later than an answer by newer rules a request must have
-	// been sent for an answer by older ones to be a step back.
-	backSlack = 250 * time.Millisecond
+	// probeInterval is the time between two probes of the rules in force.
+	probeInterval = 40 * time.Millisecond
+	// maxRulesDelay is the time after which rules must be in force on a running VM: 2 s
+	// for which the VM may be suspended, 2 s of an impaired path to the store, and the
+	// time to propagate the rules from VM to VM, with the same again as margin.
+	maxRulesDelay = 7 * time.Second
+	// regressionSlack is the least time between a response by newer rules and the sending
+	// of a request that is answered by older rules, for the latter to be an error.
+	regressionSlack = 250 * time.Millisecond
 )
 
 // version is one version of the rules as the operator wrote it.
 type version struct {
-	number         int
-	begun, settled time.Time // settled: accepted by the store.
+	number            int
+	started, accepted time.Time // Before the write, and after it was acknowledged or failed.
 }
 
-// probe is one answer to the question whether a version is in force.
+// probe is the result of asking a VM whether a version of the rules is in force.
 type probe struct {
 	vm             string
-	life           int32
+	incarnation    int32
 	version        int
 	status         int
-	whole          bool // The answer is the question's own and whole.
+	intact         bool // The response is complete and belongs to the request.
 	sent, answered time.Time
 }
 
-// prober asks VMs for the route that only one version of the rules has.
+// prober requests from VMs the route that only one version of the rules has.
 type prober struct {
 	fleet  *fleet
 	rnd    *rand.Rand
@@ -51,18 +51,18 @@
 	probes []probe
 }
 
-// run asks until ctx ends.
+// run sends probes until ctx is done.
 func (p *prober) run(ctx context.Context) {
 	defer p.wait.Done()
 	for n := 0; ctx.Err() == nil; n++ {
 		versions := p.fleet.versionsSoFar()
 		newest := versions[len(versions)-1].number
 		p.ask(fmt.Sprint("p-", n), max(1, newest-p.rnd.IntN(2)))
-		<-time.After(probeEvery)
+		<-time.After(probeInterval)
 	}
 }
 
-// ask asks one VM. What is not answered tells nothing.
+// ask probes one VM. A probe without a response is discarded.
 func (p *prober) ask(id string, number int) {
 	v := p.fleet.vms[p.rnd.IntN(len(p.fleet.vms))]
 	req, err := http.NewRequest(http.MethodGet, "http://"+v.front+standin.VersionPath(number), http.NoBody)
@@ -71,8 +71,8 @@
 	}
 	req.Host = "h"
 	req.Header.Set(platform.Protocol().RequestID, id)
-	found := probe{vm: v.name, life: v.lives.Load(), version: number, sent: time.Now()}
-	p.fleet.ledger.probed(id, v)
+	found := probe{vm: v.name, incarnation: v.starts.Load(), version: number, sent: time.Now()}
+	p.fleet.ledger.recordProbe(id, v)
 	resp, err := p.client.Do(req)
 	if err != nil {
 		return
@@ -83,35 +83,35 @@
 		return
 	}
 	found.status, found.answered = resp.StatusCode, time.Now()
-	found.whole = resp.StatusCode != http.StatusOK || string(body) == standin.Answer(id, nil)
+	found.intact = resp.StatusCode != http.StatusOK || string(body) == standin.Answer(id, nil)
 	p.probes = append(p.probes, found)
 }
 
-// judgeRules checks that rules were in force in time, and that no process of a VM
-// went back to older ones.
+// judgeRules checks that rules were in force in time and that no process of a VM
+// returned to older rules.
 func judgeRules(probes []probe, versions []version) (broken []string) {
 	at := make(map[int]version, len(versions))
 	for _, v := range versions {
 		at[v.number] = v
 	}
-	newest := make(map[string]probe) // By VM and life: the newest version seen there.
+	newest := make(map[string]probe) // The newest version seen, by VM and incarnation.
 	for _, p := range probes {
-		who := fmt.Sprint(p.vm, "/", p.life)
+		who := fmt.Sprint(p.vm, "/", p.incarnation)
 		next, replaced := at[p.version+1]
 		switch {
-		case p.status == http.StatusNotFound && p.sent.Sub(at[p.version].settled) > inForceAfter && !(replaced && next.begun.Before(p.answered)):
-			broken = append(broken, fmt.Sprintf("version %d not in force %v after it was accepted: %s", p.version, p.sent.Sub(at[p.version].settled).Round(time.Millisecond), p.vm))
-		case p.status == http.StatusOK && replaced && p.sent.Sub(next.settled) > inForceAfter:
-			broken = append(broken, fmt.Sprintf("version %d still in force %v after the next was accepted: %s", p.version, p.sent.Sub(next.settled).Round(time.Millisecond), p.vm))
+		case p.status == http.StatusNotFound && p.sent.Sub(at[p.version].accepted) > maxRulesDelay && !(replaced && next.started.Before(p.answered)):
+			broken = append(broken, fmt.Sprintf("version %d not in force %v after it was accepted: %s", p.version, p.sent.Sub(at[p.version].accepted).Round(time.Millisecond), p.vm))
+		case p.status == http.StatusOK && replaced && p.sent.Sub(next.accepted) > maxRulesDelay:
+			broken = append(broken, fmt.Sprintf("version %d still in force %v after the next was accepted: %s", p.version, p.sent.Sub(next.accepted).Round(time.Millisecond), p.vm))
 		}
-		if !p.whole {
+		if !p.intact {
 			broken = append(broken, "an answer was not whole or not the request's own: "+p.vm)
 		}
 		if p.status != http.StatusOK {
 			continue
 		}
 		seen, ok := newest[who]
-		if ok && p.version < seen.version && p.sent.Sub(seen.answered) > backSlack {
+		if ok && p.version < seen.version && p.sent.Sub(seen.answered) > regressionSlack {
 			broken = append(broken, fmt.Sprintf("%s went back from version %d to %d", p.vm, seen.version, p.version))
 		}
 		if !ok || p.version > seen.version {
@@ -121,18 +121,19 @@
 	return broken
 }
 
-// The bound on arrivals beyond the first of each request, over all VMs. It goes into
+// The limit on arrivals after the first one of each request, over all VMs. It is part of
 // the VMs' settings.
 const (
 	retryRatio  = 0.2
 	retryWindow = 10 * time.Second
 	retryExtra  = 60
-	// retryStep is how finely windows are looked at.
+	// retryStep is the distance between the starts of the windows that are checked.
 	retryStep = 500 * time.Millisecond
 )
 
-// judgeRetries checks the bound in sliding windows. The requests are those of the
-// window, of the one before, or of the one half a window before.
+// judgeRetries checks the limit in sliding windows. The base is the largest of the numbers
+// of requests in the window itself, in the one that starts half a window earlier, and in
+// the one that starts a whole window earlier.
 func judgeRetries(requests, repeats []time.Time) (broken []string) {
 	if len(repeats) == 0 {
 		return nil
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// promises names what is checked, with counts.
+// promises lists the counts of what was checked.
 func (r *result) promises() string {
 	return strings.Join([]string{
 		fmt.Sprintf("%d rules probed", r.probed), fmt.Sprintf("%d versions", r.versions), fmt.Sprintf("%d sent again", r.sentAgain),
--- a/tools/soak/probe_test.go
+++ b/tools/soak/probe_test.go
@@ -15,12 +15,12 @@
 func TestJudgeRules(t *testing.T) {
 	versions := []version{{1, at(0), at(0)}, {2, at(10), at(10)}}
 	ask := func(number, status int, sent float64, life int32) probe {
-		return probe{vm: "vm-1", life: life, version: number, status: status, whole: true, sent: at(sent), answered: at(sent + 0.01)}
+		return probe{vm: "vm-1", incarnation: life, version: number, status: status, intact: true, sent: at(sent), answered: at(sent + 0.01)}
 	}
 	for _, tc := range []struct {
 		name   string
 		probes []probe
-		want   string // Part of what is broken; "": nothing.
+		want   string // Substring of the error; "" for none.
 	}{
 		{"in force", []probe{ask(1, 200, 8, 1), ask(2, 200, 11, 1), ask(1, 404, 12, 1)}, ""},
 		{"not yet, in time", []probe{ask(2, 404, 16, 1), ask(1, 200, 16, 1)}, ""},
--- a/tools/soak/proxy.go
+++ b/tools/soak/proxy.go
@@ -9,60 +9,61 @@
 	"time"
 )
 
-// mode is what a proxy does to the bytes that pass.
+// mode is what a proxy does to the data that it forwards.
 type mode int32
 
 const (
 	pass   mode = iota
-	slow        // Each piece is held back.
-	reset       // Connections are reset, new ones too.
-	silent      // Nothing passes, and nothing says so.
-	oneWay      // Nothing passes back.
+	slow        // Data is delayed by slowDelay.
+	reset       // Connections are reset, including new ones.
+	silent      // Data is dropped in both directions.
+	oneWay      // Data from the target is dropped.
 )
 
 var modeNames = [...]string{"pass", "slow", "reset", "silent", "oneWay"}
 
-// slowBy is how long a slow proxy holds each piece back.
-const slowBy = 120 * time.Millisecond
+// slowDelay is the delay of each chunk of data.
+const slowDelay = 120 * time.Millisecond
 
-// proxy passes connections on to an address.
+// proxy forwards TCP connections to an address.
 type proxy struct {
-	l  net.Listener
-	at string // Where it listens, IP:port.
-	// taking proxies take connections also for whoever is not there, as something does
-	// that stands before upstreams.
-	taking bool
-	to     string
-	mode   atomic.Int32
+	l          net.Listener
+	listenAddr string // IP:port.
+	// acceptAlways makes the proxy accept connections also when the target is down, as a
+	// load balancer in front of upstreams does.
+	acceptAlways bool
+	target       string
+	mode         atomic.Int32
 }
 
-func startProxy(to string, taking bool) (*proxy, error) {
+func startProxy(to string, acceptAlways bool) (*proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{l: l, at: l.Addr().String(), to: to, taking: taking}
+	p := &proxy{l: l, listenAddr: l.Addr().String(), target: to, acceptAlways: acceptAlways}
 	go p.run()
 	return p, nil
 }
 
-func (p *proxy) addr() string { return p.at }
+func (p *proxy) addr() string { return p.listenAddr }
 
-// lookAgain is how often a proxy looks whether somebody listens again.
-const lookAgain = 20 * time.Millisecond
+// redialInterval is the interval between checks whether the target listens again.
+const redialInterval = 20 * time.Millisecond
 
-// run accepts connections. It is a path and takes none for whoever is not there: where
-// its address refuses, so does the proxy's own, but for the connection that shows it.
+// run accepts and forwards connections. When the target refuses a connection, the proxy
+// resets the accepted one and, unless acceptAlways is set, refuses new ones until the
+// target listens again.
 func (p *proxy) run() {
 	for {
 		c, err := p.l.Accept()
 		if err != nil {
 			return
 		}
-		up, err := net.DialTimeout("tcp", p.to, time.Second)
+		up, err := net.DialTimeout("tcp", p.target, time.Second)
 		if err != nil {
-			cutOff(c)
-			if errors.Is(err, syscall.ECONNREFUSED) && !p.taking {
+			resetConn(c)
+			if errors.Is(err, syscall.ECONNREFUSED) && !p.acceptAlways {
 				p.refuse()
 			}
 			continue
@@ -72,43 +73,43 @@
 	}
 }
 
-// refuse listens no more until somebody does at the address that it passes on to.
+// refuse stops listening until the target accepts connections again.
 func (p *proxy) refuse() {
 	p.l.Close()
 	for {
-		<-time.After(lookAgain)
-		up, err := net.DialTimeout("tcp", p.to, time.Second)
+		<-time.After(redialInterval)
+		up, err := net.DialTimeout("tcp", p.target, time.Second)
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			continue
 		}
 		if err == nil {
 			up.Close()
 		}
-		l, err := net.Listen("tcp", p.at)
+		l, err := net.Listen("tcp", p.listenAddr)
 		if err != nil {
-			continue // The port is in use for a moment, by a connection of somebody's.
+			continue // The port is temporarily in use by another process's connection.
 		}
 		p.l = l
 		return
 	}
 }
 
-func cutOff(c net.Conn) {
+func resetConn(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 	c.Close()
 }
 
-// stream is one direction of a connection.
+// stream forwards one direction of a connection.
 type stream struct {
 	proxy    *proxy
 	from, to net.Conn
 	back     bool
 }
 
-// run copies until either end is closed. Bytes that a silent proxy has taken in
-// are lost, as on a path that drops packets for good.
+// run copies data until either end is closed. Data read in mode silent is lost, as on a
+// path that drops packets for good.
 func (s *stream) run() {
 	defer s.from.Close()
 	defer s.to.Close()
@@ -120,25 +121,25 @@
 		}
 		if err != nil {
 			if err != io.EOF {
-				cutOff(s.to)
+				resetConn(s.to)
 			}
 			return
 		}
 	}
 }
 
-// pass hands a piece on as the mode says, and reports whether the connection
-// goes on.
+// pass forwards a chunk according to the mode and reports whether the connection stays
+// open.
 func (s *stream) pass(p []byte) bool {
 	switch m := mode(s.proxy.mode.Load()); {
 	case m == reset:
-		cutOff(s.from)
-		cutOff(s.to)
+		resetConn(s.from)
+		resetConn(s.to)
 		return false
 	case m == silent || m == oneWay && s.back:
 		return true
 	case m == slow:
-		<-time.After(slowBy)
+		<-time.After(slowDelay)
 	}
 	_, err := s.to.Write(p)
 	return err == nil
--- a/tools/soak/timeline.go
+++ b/tools/soak/timeline.go
@@ -13,22 +13,22 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// moment is one fault that was injected.
-type moment struct {
+// injectedFault is a fault and the time of its injection.
+type injectedFault struct {
 	name string
 	at   time.Time
 }
 
-// The size of a timeline, and where the faults' marks begin above the shares.
+// The size of a timeline, and the Y positions of the faults' marks above the curve.
 const (
 	timelineWidth  = 9 * vg.Inch
 	timelineHeight = 4 * vg.Inch
-	firstMark      = 1.08
+	firstMarkY     = 1.08
 	markStep       = 0.06
 )
 
-// draw writes a timeline: the share served by seconds, and above it when each kind
-// of fault was injected.
+// draw writes a timeline: the fraction of requests served in each second, and above it the
+// times at which each kind of fault was injected.
 func (r *result) draw(dir string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("seed %d", r.seed)
@@ -41,7 +41,7 @@
 	served.Width = vg.Points(1.5)
 	p.Add(plotter.NewGrid(), served)
 	var kinds []string
-	for _, m := range r.moments {
+	for _, m := range r.injected {
 		if !slices.Contains(kinds, m.name) {
 			kinds = append(kinds, m.name)
 		}
@@ -52,10 +52,10 @@
 		ticks = append(ticks, plot.Tick{Value: share, Label: fmt.Sprint(share)})
 	}
 	for i, kind := range kinds {
-		y := firstMark + markStep*float64(i)
+		y := firstMarkY + markStep*float64(i)
 		ticks = append(ticks, plot.Tick{Value: y, Label: kind})
 		var points plotter.XYs
-		for _, m := range r.moments {
+		for _, m := range r.injected {
 			if m.name == kind {
 				points = append(points, plotter.XY{X: m.at.Sub(r.began).Seconds(), Y: y})
 			}
@@ -74,21 +74,21 @@
 	return p.Save(timelineWidth, timelineHeight, filepath.Join(dir, fmt.Sprintf("seed-%d.png", r.seed)))
 }
 
-// shares returns the share of requests served by the second in which they were made.
+// shares returns the fraction of requests served, by the second in which they were sent.
 func (r *result) shares() plotter.XYs {
 	var points plotter.XYs
 	for i, s := range r.seconds {
-		if s.asked > 0 {
-			points = append(points, plotter.XY{X: float64(i), Y: float64(s.served) / float64(s.asked)})
+		if s.requests > 0 {
+			points = append(points, plotter.XY{X: float64(i), Y: float64(s.served) / float64(s.requests)})
 		}
 	}
 	return points
 }
 
-// second counts the requests made in one second.
-type second struct{ asked, served int }
+// second counts the requests sent in one second.
+type second struct{ requests, served int }
 
-// bySeconds counts requests by the second in which they were made.
+// bySeconds counts requests by the second in which they were sent.
 func (l *ledger) bySeconds(began time.Time) (list []second) {
 	for _, e := range l.entries {
 		if e.at.IsZero() || e.probe {
@@ -98,7 +98,7 @@
 		for len(list) <= i {
 			list = append(list, second{})
 		}
-		list[i].asked++
+		list[i].requests++
 		if e.status == 200 {
 			list[i].served++
 		}
