--- a/tools/demo/main.go
+++ b/tools/demo/main.go
@@ -1,7 +1,8 @@
-// Command demo starts a small auburnlatch on loopback, as separate processes,
-// and takes it through its paces: an inventory is applied, a caller looks up a
-// VM, reads, books twice under one key, and uploads. It prints a line a step,
-// stops everything by process id, and exits non-zero where a step fails.
+// Command demo starts a small auburnlatch on loopback as separate processes and
+// exercises it: it applies an inventory, looks up a VM, reads, sends a booking
+// twice with one idempotency key, uploads, and kills a VM. It prints a line for
+// each step and stops all its processes by their IDs. It exits with a non-zero
+// status if a step fails.
 //
 // Usage, from the root of the repository:
 //
@@ -22,7 +23,7 @@
 )
 
 type flags struct {
-	Bin  string `help:"Folder with the built programs." default:"bin"`
+	Bin  string `help:"Directory with the built programs." default:"bin"`
 	Keep bool   `help:"Leave everything running and print the addresses."`
 }
 
@@ -49,7 +50,7 @@
 	if err != nil {
 		return errors.Wrap(err, "demo")
 	}
-	s := &stage{dir: dir, bin: bin, ports: newPorts()}
+	s := &demoSystem{dir: dir, bin: bin, ports: newPorts()}
 	defer s.stopAll()
 	if err := s.start(); err != nil {
 		return err
@@ -62,5 +63,5 @@
 		s.printAddresses()
 		<-ctx.Done()
 	}
-	return s.leave()
+	return s.stopVMs()
 }
--- a/tools/demo/stage.go
+++ b/tools/demo/stage.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	templates = "examples/demo"
-	stopLimit = 20 * time.Second
-	logTail   = 4000
+	templates   = "examples/demo"
+	stopTimeout = 20 * time.Second
+	maxLogTail  = 4000
 )
 
-// vmSpec is one VM of the demo.
+// vmSpec describes one VM of the demo.
 type vmSpec struct{ Name, Zone string }
 
-// targetSpec is one stand-in upstream of the demo.
+// targetSpec describes one stand-in upstream of the demo.
 type targetSpec struct {
 	Name, Service, Zone string
 	Slots               int
@@ -53,18 +53,18 @@
 	return list
 }
 
-// ports gives out free ports by name. All are held until release, so that no
-// two names get one.
+// ports allocates free ports by name. Listeners hold all of them until release, so
+// that no two names get the same port.
 type ports struct {
-	byName map[string]net.Listener
-	addrs  map[string]string
+	listeners map[string]net.Listener
+	addrs     map[string]string
 }
 
 func newPorts() *ports {
-	return &ports{byName: map[string]net.Listener{}, addrs: map[string]string{}}
+	return &ports{listeners: map[string]net.Listener{}, addrs: map[string]string{}}
 }
 
-// addr returns the address of a process's port.
+// addr returns the address of a named port of a process, allocating it if needed.
 func (p *ports) addr(process, port string) (string, error) {
 	key := process + "/" + port
 	if addr, ok := p.addrs[key]; ok {
@@ -78,36 +78,36 @@
 	if err != nil {
 		return "", errors.Wrap(err, "no free port")
 	}
-	p.byName[key], p.addrs[key] = l, l.Addr().String()
+	p.listeners[key], p.addrs[key] = l, l.Addr().String()
 	return p.addrs[key], nil
 }
 
-// release frees the ports for the processes to listen on.
+// release closes the listeners so that the processes can listen on the ports.
 func (p *ports) release() {
-	for _, l := range p.byName {
+	for _, l := range p.listeners {
 		l.Close()
 	}
-	clear(p.byName)
+	clear(p.listeners)
 }
 
-// process is one that the demo started.
+// process is a process that the demo started.
 type process struct {
 	name string
 	cmd  *exec.Cmd
 	log  string
 	done chan error
-	// killed says that the demo ended it on purpose.
+	// killed means that the demo killed it on purpose.
 	killed bool
 }
 
-// isVM reports whether the process is a VM that should be running.
+// isVM reports whether the process is a VM that the demo has not killed.
 func (p *process) isVM() bool { return strings.HasSuffix(p.cmd.Path, "auburnlatchd") && !p.killed }
 
 // run waits for the process to end.
 func (p *process) run() { p.done <- p.cmd.Wait() }
 
-// stage is all that the demo started.
-type stage struct {
+// demoSystem is the system that the demo runs: its processes, ports and files.
+type demoSystem struct {
 	dir, bin  string
 	ports     *ports
 	processes []*process
@@ -115,7 +115,7 @@
 }
 
 // start writes the settings and starts all processes.
-func (s *stage) start() error {
+func (s *demoSystem) start() error {
 	var upstreams []string
 	for _, t := range targets() {
 		addr, err := s.ports.addr(t.Name, "http")
@@ -153,9 +153,9 @@
 	return nil
 }
 
-func (s *stage) settings(vm vmSpec) string { return filepath.Join(s.dir, vm.Name+".jsonc") }
+func (s *demoSystem) settings(vm vmSpec) string { return filepath.Join(s.dir, vm.Name+".jsonc") }
 
-func (s *stage) render(name, to string, data any) error {
+func (s *demoSystem) render(name, to string, data any) error {
 	t, err := template.New(name).Funcs(template.FuncMap{"addr": s.ports.addr}).ParseFiles(filepath.Join(templates, name))
 	if err != nil {
 		return errors.Wrap(err, name)
@@ -167,7 +167,7 @@
 	return errors.Wrap(os.WriteFile(to, out.Bytes(), 0o600), name)
 }
 
-func (s *stage) spawn(name, program string, args ...string) error {
+func (s *demoSystem) spawn(name, program string, args ...string) error {
 	p := &process{name: name, cmd: exec.Command(filepath.Join(s.bin, program), args...), log: filepath.Join(s.dir, name+".log"), done: make(chan error, 1)}
 	log, err := os.Create(p.log)
 	if err != nil {
@@ -183,8 +183,8 @@
 	return nil
 }
 
-// leave stops the VMs gracefully and checks that each ends well.
-func (s *stage) leave() error {
+// stopVMs stops the VMs gracefully and checks that each exits with status 0.
+func (s *demoSystem) stopVMs() error {
 	started := time.Now()
 	n := 0
 	for _, p := range s.processes {
@@ -202,47 +202,47 @@
 		case err := <-p.done:
 			p.done <- err
 			if err != nil {
-				return errors.Wrapf(err, "VM %s did not end well", p.name)
+				return errors.Wrapf(err, "VM %s did not exit cleanly", p.name)
 			}
 			n++
-		case <-time.After(stopLimit):
-			return errors.Newf("VM %s did not end within %v", p.name, stopLimit)
+		case <-time.After(stopTimeout):
+			return errors.Newf("VM %s did not exit within %v of SIGTERM", p.name, stopTimeout)
 		}
 	}
 	fmt.Printf("demo: %d VMs left gracefully, exit 0, in %v\n", n, time.Since(started).Round(time.Millisecond))
 	return nil
 }
 
-// killVM ends a VM at once, by its process id.
-func (s *stage) killVM(name string) error {
+// killVM kills a VM with SIGKILL.
+func (s *demoSystem) killVM(name string) error {
 	for _, p := range s.processes {
 		if p.name == name {
 			p.killed = true
 			return errors.Wrap(p.cmd.Process.Kill(), name)
 		}
 	}
-	return errors.Newf("there is no VM %s", name)
+	return errors.Newf("unknown VM %s", name)
 }
 
-// stopAll ends whatever of the demo's processes still runs, by its id.
-func (s *stage) stopAll() {
+// stopAll kills the demo's processes that are still running.
+func (s *demoSystem) stopAll() {
 	for _, p := range s.processes {
 		_ = p.cmd.Process.Kill()
 		<-p.done
 	}
 }
 
-func (s *stage) printLogs() {
+func (s *demoSystem) printLogs() {
 	for _, p := range s.processes {
 		data, err := os.ReadFile(p.log)
 		if err != nil {
 			continue
 		}
-		fmt.Printf("--- %s\n%s\n", p.name, data[max(0, len(data)-logTail):])
+		fmt.Printf("--- %s\n%s\n", p.name, data[max(0, len(data)-maxLogTail):])
 	}
 }
 
-func (s *stage) printAddresses() {
+func (s *demoSystem) printAddresses() {
 	vm := vms[0].Name
 	callers, operators := s.ports.addrs[vm+"/caller"], s.ports.addrs[vm+"/operator"]
 	fmt.Printf(`demo: running until interrupted; try
--- a/tools/demo/steps.go
+++ b/tools/demo/steps.go
@@ -20,21 +20,21 @@
 )
 
 const (
-	readyLimit = 15 * time.Second
-	serveLimit = 15 * time.Second
-	poll       = 100 * time.Millisecond
-	uploadSize = 8 << 20
+	readyTimeout = 15 * time.Second
+	serveTimeout = 15 * time.Second
+	pollInterval = 100 * time.Millisecond
+	uploadSize   = 8 << 20
 )
 
-// steps takes the system through its paces.
-func (s *stage) steps(ctx context.Context) error {
+// steps runs the steps of the demo and prints a line for each.
+func (s *demoSystem) steps(ctx context.Context) error {
 	for _, step := range []struct {
 		name string
 		run  func(context.Context) (string, error)
 	}{
 		{"register the VMs with the platform", s.register},
 		{"apply the inventory and wait", s.apply},
-		{"wait for all slots to be in force", s.slots},
+		{"wait for all slots to be in force", s.waitForSlots},
 		{"look up a VM", s.lookup},
 		{"read a service history", s.read},
 		{"book a slot twice under one key", s.book},
@@ -52,14 +52,14 @@
 	return nil
 }
 
-func (s *stage) register(ctx context.Context) (string, error) {
+func (s *demoSystem) register(ctx context.Context) (string, error) {
 	platform := s.ports.addrs["platform/http"]
 	for _, vm := range vms {
 		body, err := protojson.Marshal(&schema.ListedVm{Name: vm.Name, Zone: vm.Zone, PeerAddr: s.ports.addrs[vm.Name+"/peer"]})
 		if err != nil {
 			return "", err
 		}
-		err = until(ctx, readyLimit, func() error {
+		err = retryUntil(ctx, readyTimeout, func() error {
 			_, _, err := call(ctx, http.MethodPut, "http://"+platform+"/standin/vms/"+vm.Name, body, nil)
 			return err
 		})
@@ -70,25 +70,25 @@
 	return fmt.Sprintf("%d VMs", len(vms)), nil
 }
 
-func (s *stage) client(args ...string) (string, error) {
+func (s *demoSystem) runClient(args ...string) (string, error) {
 	cmd := exec.Command(filepath.Join(s.bin, "auburnlatch"), append([]string{"--vm", s.ports.addrs[vms[0].Name+"/operator"]}, args...)...)
 	out, err := cmd.CombinedOutput()
 	return strings.TrimSpace(string(out)), errors.Wrapf(err, "auburnlatch %s: %s", strings.Join(args, " "), out)
 }
 
-func (s *stage) apply(ctx context.Context) (string, error) {
+func (s *demoSystem) apply(ctx context.Context) (string, error) {
 	var out string
-	err := until(ctx, readyLimit, func() error {
+	err := retryUntil(ctx, readyTimeout, func() error {
 		var err error
-		out, err = s.client("apply", s.inventory, "--wait")
+		out, err = s.runClient("apply", s.inventory, "--wait")
 		return err
 	})
 	lines := strings.Split(out, "\n")
 	return lines[0] + "; " + lines[len(lines)-1], err
 }
 
-// lookup asks a VM which VMs to use, as a caller does.
-func (s *stage) lookup(ctx context.Context) (string, error) {
+// lookup sends a caller's look-up to a VM and checks the reply.
+func (s *demoSystem) lookup(ctx context.Context) (string, error) {
 	reply := &schema.LookupReply{}
 	_, body, err := call(ctx, http.MethodGet, s.url(0, "/auburnlatch/lookup"), nil, nil)
 	if err != nil {
@@ -103,14 +103,14 @@
 	return fmt.Sprintf("place %s, VMs %v, valid %d s", reply.GetPlace(), reply.GetVms(), reply.GetTtlSeconds()), nil
 }
 
-func (s *stage) url(vm int, path string) string {
+func (s *demoSystem) url(vm int, path string) string {
 	return "http://" + s.ports.addrs[vms[vm].Name+"/caller"] + path
 }
 
-// read waits for the zone's slots to be taken into use, too.
-func (s *stage) read(ctx context.Context) (string, error) {
+// read retries until the zone's slots are in force.
+func (s *demoSystem) read(ctx context.Context) (string, error) {
 	var body []byte
-	err := until(ctx, serveLimit, func() error {
+	err := retryUntil(ctx, serveTimeout, func() error {
 		var err error
 		_, body, err = call(ctx, http.MethodGet, s.url(0, "/istoric/vehicles/SV-07-XYZ"), nil, nil)
 		return err
@@ -121,9 +121,9 @@
 	return strings.TrimSpace(string(body)), err
 }
 
-// book sends one booking through two VMs under one key: it must run once, and
-// the second answer must be the first one, whole.
-func (s *stage) book(ctx context.Context) (string, error) {
+// book sends one booking through two VMs with one idempotency key. It must run once,
+// and both responses must be identical.
+func (s *demoSystem) book(ctx context.Context) (string, error) {
 	header := http.Header{"Idempotency-Key": {"itp-2026-12-02-1"}, "Auburnlatch-Caller": {"depot-suceava"}}
 	order := []byte(`{"Vehicle":"SV-07-XYZ","Bay":2}`)
 	_, first, err := call(ctx, http.MethodPost, s.url(0, "/programari/slots"), order, header)
@@ -131,7 +131,7 @@
 		return "", err
 	}
 	var second []byte
-	err = until(ctx, serveLimit, func() error {
+	err = retryUntil(ctx, serveTimeout, func() error {
 		var err error
 		_, second, err = call(ctx, http.MethodPost, s.url(1, "/programari/slots"), order, header)
 		return err
@@ -140,7 +140,7 @@
 		return "", err
 	}
 	if !bytes.Equal(first, second) {
-		return "", errors.Newf("answers differ: %q and %q", first, second)
+		return "", errors.Newf("responses differ: %q and %q", first, second)
 	}
 	runs, err := s.runs(ctx, header.Get("Idempotency-Key"))
 	if err != nil || runs != 1 {
@@ -149,8 +149,8 @@
 	return "ran once by the upstreams' count, same whole answer twice", nil
 }
 
-// runs asks all upstreams how often a request with that key ran.
-func (s *stage) runs(ctx context.Context, key string) (uint64, error) {
+// runs returns how often requests with the given key ran, by the counters of all upstreams.
+func (s *demoSystem) runs(ctx context.Context, key string) (uint64, error) {
 	var n uint64
 	for _, t := range targets() {
 		_, body, err := call(ctx, http.MethodGet, "http://"+s.ports.addrs[t.Name+"/http"]+"/standin/stats", nil, nil)
@@ -170,7 +170,7 @@
 	return n, nil
 }
 
-func (s *stage) upload(ctx context.Context) (string, error) {
+func (s *demoSystem) upload(ctx context.Context) (string, error) {
 	recording := bytes.Repeat([]byte("brake-test "), uploadSize/len("brake-test "))
 	sum := sha256.Sum256(recording)
 	_, body, err := call(ctx, http.MethodPut, s.url(2, "/atelier/recordings/1"), recording, nil)
@@ -178,27 +178,28 @@
 		return "", err
 	}
 	if !strings.Contains(string(body), hex.EncodeToString(sum[:])) {
-		return "", errors.Newf("the upstream read something else: %q", body)
+		return "", errors.Newf("the upstream's response does not contain the upload's hash: %q", body)
 	}
 	return fmt.Sprintf("%d bytes arrived whole", len(recording)), nil
 }
 
-// slots waits until each zone's VMs have taken exactly its slots into use.
-func (s *stage) slots(ctx context.Context) (string, error) {
+// waitForSlots waits until each VM reports all slots of each zone, and no more, as in
+// force.
+func (s *demoSystem) waitForSlots(ctx context.Context) (string, error) {
 	for _, vm := range vms {
-		if err := until(ctx, serveLimit, func() error { return s.seesAllSlots(ctx, vm.Name) }); err != nil {
+		if err := retryUntil(ctx, serveTimeout, func() error { return s.checkSlots(ctx, vm.Name) }); err != nil {
 			return "", errors.Wrap(err, vm.Name)
 		}
 	}
-	return fmt.Sprintf("%d of each service in each zone, as each VM sees it", slotsAZone), nil
+	return fmt.Sprintf("%d of each service in each zone, as each VM sees it", slotsPerZone), nil
 }
 
-// slotsAZone are those of each service in each zone.
-const slotsAZone = 8
+// slotsPerZone is the number of slots of each service in each zone.
+const slotsPerZone = 8
 
-// seesAllSlots reports whether a VM knows of all slots. What one VM knows another may
-// not have heard yet, and it refuses what it has no slots for.
-func (s *stage) seesAllSlots(ctx context.Context, vm string) error {
+// checkSlots checks that a VM knows of all slots. Slots known to one VM may not have
+// propagated to another, which refuses requests for which it knows of no slots.
+func (s *demoSystem) checkSlots(ctx context.Context, vm string) error {
 	_, body, err := call(ctx, http.MethodGet, "http://"+s.ports.addrs[vm+"/operator"]+"/status", nil, nil)
 	if err != nil {
 		return err
@@ -209,23 +210,23 @@
 	}
 	for _, z := range st.GetZones() {
 		for _, svc := range z.GetServices() {
-			if svc.GetSlots() != slotsAZone {
-				return errors.Newf("%s has %d slots of %s, want %d", z.GetZone(), svc.GetSlots(), svc.GetService(), slotsAZone)
+			if svc.GetSlots() != slotsPerZone {
+				return errors.Newf("%s has %d slots of %s, want %d", z.GetZone(), svc.GetSlots(), svc.GetService(), slotsPerZone)
 			}
 		}
 	}
 	return nil
 }
 
-// kill ends a VM without a word. A caller that finds it dead goes to the next
-// VM that its look-up named.
-func (s *stage) kill(ctx context.Context) (string, error) {
+// kill kills a VM with SIGKILL. A caller that cannot reach it uses the next VM of its
+// look-up's reply.
+func (s *demoSystem) kill(ctx context.Context) (string, error) {
 	const reads, dead, next = 20, 1, 0
 	if err := s.killVM(vms[dead].Name); err != nil {
 		return "", err
 	}
 	if _, _, err := call(ctx, http.MethodGet, s.url(dead, "/istoric/x"), nil, nil); err == nil {
-		return "", errors.New("the dead VM answers")
+		return "", errors.New("the killed VM still responds")
 	}
 	for range reads {
 		if _, _, err := call(ctx, http.MethodGet, s.url(next, "/istoric/vehicles/SV-07-XYZ"), nil, nil); err != nil {
@@ -235,13 +236,14 @@
 	return fmt.Sprintf("%s is dead, %d of %d reads served by %s", vms[dead].Name, reads, reads, vms[next].Name), nil
 }
 
-func (s *stage) status(context.Context) (string, error) {
-	out, err := s.client("status")
+func (s *demoSystem) status(context.Context) (string, error) {
+	out, err := s.runClient("status")
 	return "\n" + out + "\n", err
 }
 
-// until calls f until it succeeds or the time is over.
-func until(ctx context.Context, limit time.Duration, f func() error) error {
+// retryUntil calls f until it succeeds or the time limit has passed. It then returns f's
+// last error.
+func retryUntil(ctx context.Context, limit time.Duration, f func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for {
@@ -252,7 +254,7 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(poll):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/tools/experiment/draw.go
+++ b/tools/experiment/draw.go
@@ -21,14 +21,15 @@
 	plotHeight = 3.5 * vg.Inch
 )
 
-// line is one play in a plot.
-type line struct {
+// series is the result of one policy in a plot.
+type series struct {
 	name   string
 	result model.Result
 }
 
-// draw writes the share answered within the aim by seconds, a line a policy.
-func draw(dir string, s model.Shape, pattern model.Pattern, lines []line) error {
+// draw writes a plot of the fraction of requests answered within the latency objective,
+// per second of the simulation and with a line for each policy.
+func draw(dir string, s model.Shape, pattern model.Pattern, lines []series) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s, %s", s.Name, pattern.Name)
 	p.X.Label.Text = "second"
--- a/tools/experiment/main.go
+++ b/tools/experiment/main.go
@@ -1,15 +1,15 @@
-// Command experiment compares policies over load patterns and shapes of a service
-// in the model of core/model, prints a table, and draws each pattern.
+// Command experiment compares balancing policies over load patterns and shapes of a
+// service by simulation with core/model. It prints a table and can plot each pattern.
 //
 // Usage:
 //
 //	experiment                              all patterns on all shapes
 //	experiment --pattern burst --shape small --seeds 5 --plots DIR
 //
-// A cell of the table is a share of requests answered within the aim: over the
-// whole pattern, in its worst two seconds, and in its last ten, by which a policy
-// must have come back. Nothing here touches a network; the same arguments print
-// the same table.
+// The columns all, worst and last are fractions of requests answered within the latency
+// objective: over the whole pattern, in its worst two seconds, and in its last ten seconds,
+// by which a policy must have recovered. Nothing here uses a network. The same arguments
+// print the same table.
 package main
 
 import (
@@ -24,22 +24,23 @@
 	"auburnlatch/core/model"
 )
 
-// Bounds of a comparison.
 const (
+	// maxSeeds is the largest number of simulations of a pattern.
 	maxSeeds = 20
-	// worstSpan and lastSpan are in seconds.
+	// worstSpan and lastSpan are the lengths in seconds of the periods that the columns
+	// worst and last cover.
 	worstSpan = 2
 	lastSpan  = 10
 )
 
 type flags struct {
-	Pattern []string `help:"Patterns by name; all where none is given."`
-	Shape   []string `help:"Shapes by name; all where none is given."`
-	Seeds   int      `help:"Plays of each, with seeds from 0." default:"2"`
-	Plots   string   `help:"Directory for one PNG a pattern and shape." type:"path"`
+	Pattern []string `help:"Names of patterns; default: all."`
+	Shape   []string `help:"Names of shapes; default: all."`
+	Seeds   int      `help:"Simulations of each, with seeds from 0." default:"2"`
+	Plots   string   `help:"Directory for one PNG for each pattern and shape." type:"path"`
 }
 
-// Validate refuses what is out of bounds; kong calls it.
+// Validate checks the flags' bounds. It is called by kong.
 func (f *flags) Validate() error {
 	if f.Seeds < 1 || f.Seeds > maxSeeds {
 		return errors.Newf("--seeds must be from 1 to %d", maxSeeds)
@@ -47,13 +48,13 @@
 	return nil
 }
 
-// contestant is a policy by name.
-type contestant struct {
+// namedPolicy is a policy to compare.
+type namedPolicy struct {
 	Name string
 	New  func(model.Shape) model.Policy
 }
 
-var contestants = []contestant{
+var policies = []namedPolicy{
 	{"ours", func(s model.Shape) model.Policy { return model.NewBalancerPolicy(s) }},
 	{"even", func(s model.Shape) model.Policy { return model.NewEven(s) }},
 	{"owner", func(s model.Shape) model.Policy { return model.NewOwner(s) }},
@@ -70,13 +71,13 @@
 	}
 }
 
-// run plays what was asked for and writes the table.
+// run simulates the selected patterns and shapes and writes the table.
 func (f *flags) run(w io.Writer) error {
-	shapes, err := pick(f.Shape, model.Shapes, func(s model.Shape) string { return s.Name })
+	shapes, err := selectNamed(f.Shape, model.Shapes, func(s model.Shape) string { return s.Name })
 	if err != nil {
 		return errors.Wrap(err, "--shape")
 	}
-	patterns, err := pick(f.Pattern, model.Patterns, func(p model.Pattern) string { return p.Name })
+	patterns, err := selectNamed(f.Pattern, model.Patterns, func(p model.Pattern) string { return p.Name })
 	if err != nil {
 		return errors.Wrap(err, "--pattern")
 	}
@@ -92,16 +93,16 @@
 	return tw.Flush()
 }
 
-// compare plays one pattern on one shape under all policies.
+// compare simulates one pattern on one shape with each policy.
 func (f *flags) compare(w io.Writer, s model.Shape, p model.Pattern) error {
-	var lines []line
-	for _, c := range contestants {
-		var sum row
+	var lines []series
+	for _, c := range policies {
+		var sum metrics
 		for seed := range f.Seeds {
 			r := model.Simulate(s, c.New(s), uint64(seed), p.PhasesFor(s))
 			sum.add(measure(r), 1/float64(f.Seeds))
 			if seed == 0 {
-				lines = append(lines, line{c.Name, r})
+				lines = append(lines, series{c.Name, r})
 			}
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\n", s.Name, p.Name, c.Name, sum.all, sum.worst, sum.last, sum.known, sum.refused)
@@ -112,10 +113,10 @@
 	return draw(f.Plots, s, p, lines)
 }
 
-// row is the figures of a play, or their means.
-type row struct{ all, worst, last, known, refused float64 }
+// metrics holds the metrics of a simulation, or their means.
+type metrics struct{ all, worst, last, known, refused float64 }
 
-func (r *row) add(o row, weight float64) {
+func (r *metrics) add(o metrics, weight float64) {
 	r.all += weight * o.all
 	r.worst += weight * o.worst
 	r.last += weight * o.last
@@ -123,18 +124,19 @@
 	r.refused += weight * o.refused
 }
 
-// measure takes a play's figures. Its last second is cut off and left out.
-func measure(r model.Result) row {
+// measure returns the metrics of a simulation. It ignores the last second, which is
+// incomplete.
+func measure(r model.Result) metrics {
 	n := len(r.Seconds) - 1
-	m := row{all: r.InTime(0, n), worst: 1, last: r.InTime(max(0, n-lastSpan), n), known: r.HitRate(0, n), refused: r.Refused(0, n)}
+	m := metrics{all: r.InTime(0, n), worst: 1, last: r.InTime(max(0, n-lastSpan), n), known: r.HitRate(0, n), refused: r.Refused(0, n)}
 	for from := 0; from+worstSpan <= n; from++ {
 		m.worst = min(m.worst, r.InTime(from, from+worstSpan))
 	}
 	return m
 }
 
-// pick returns those of the list that are named, all where none is.
-func pick[T any](names []string, list []T, name func(T) string) ([]T, error) {
+// selectNamed returns the items of list with the given names, or all if there are no names.
+func selectNamed[T any](names []string, list []T, name func(T) string) ([]T, error) {
 	if len(names) == 0 {
 		return list, nil
 	}
@@ -151,7 +153,7 @@
 			for _, x := range list {
 				known = append(known, name(x))
 			}
-			return nil, errors.Newf("%q is not known; there are %q", n, known)
+			return nil, errors.Newf("unknown name %q; known names are %q", n, known)
 		}
 	}
 	return picked, nil
--- a/tools/experiment/main_test.go
+++ b/tools/experiment/main_test.go
@@ -19,7 +19,7 @@
 	if first.String() != again.String() {
 		t.Errorf("two runs differ:\n%s\n%s", first.String(), again.String())
 	}
-	for _, c := range contestants {
+	for _, c := range policies {
 		if !strings.Contains(first.String(), c.Name) {
 			t.Errorf("no line for %q in\n%s", c.Name, first.String())
 		}
@@ -31,11 +31,11 @@
 
 func TestUnknownNamesAreRefused(t *testing.T) {
 	for _, f := range []*flags{{Pattern: []string{"x"}, Seeds: 1}, {Shape: []string{"x"}, Seeds: 1}} {
-		if err := f.run(&strings.Builder{}); err == nil || !strings.Contains(err.Error(), "is not known; there are") {
-			t.Errorf("got %v, want an error that lists what there is", err)
+		if err := f.run(&strings.Builder{}); err == nil || !strings.Contains(err.Error(), `unknown name "x"; known names are`) {
+			t.Errorf("got %v, want an error that lists the known names", err)
 		}
 	}
 	if (&flags{Seeds: maxSeeds + 1}).Validate() == nil {
-		t.Error("too many seeds are taken")
+		t.Error("accepted too many seeds")
 	}
 }
--- a/tools/load/main.go
+++ b/tools/load/main.go
@@ -1,13 +1,13 @@
-// Command load sends requests to loopback at a steady rate for a bounded time
-// and prints what its callers saw: status codes, verdicts, latencies. Where it
-// is given process ids it prints the processor time those used meanwhile.
+// Command load sends requests to a loopback address at a constant rate for a
+// bounded time and prints their status codes, verdicts and latencies. If it is
+// given process IDs it also prints the processor time that they used.
 //
 // Usage:
 //
 //	load --url http://127.0.0.1:8080/auburnlatch/lookup --rate 2000 --for 10s --pid 4711
 //
-// Requests go out on schedule, not when the last one is answered, so a slow
-// answer shows as latency and not as a lower rate.
+// Requests are sent on schedule, whether or not earlier ones have been answered, so
+// a slow response shows as latency and not as a lower rate.
 package main
 
 import (
@@ -31,29 +31,31 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds of a run.
+// Limits of a run, and constants of /proc.
 const (
 	maxRate     = 20_000
-	maxTime     = 10 * time.Minute
+	maxDuration = 10 * time.Minute
 	maxInFlight = 256
-	// burstsPerSecond bounds a burst to that part of a second.
+	// burstsPerSecond limits a burst to the requests of 1/burstsPerSecond of a second.
 	burstsPerSecond = 200
-	// ticksPerSecond is the unit of processor time under /proc on Linux.
+	// ticksPerSecond is the number of clock ticks per second, the unit of processor time
+	// under /proc on Linux.
 	ticksPerSecond = 100
-	// statUser is the place of the user time among the fields after the name.
-	statUser = 11
+	// utimeField is the index of the user time among the fields of /proc/PID/stat after the
+	// process's name. The system time is the next field.
+	utimeField = 11
 )
 
 type flags struct {
-	URL     string        `help:"What to ask for; an address on loopback." required:""`
+	URL     string        `help:"URL to request; its host must be a loopback address." required:""`
 	Method  string        `help:"HTTP method." default:"GET"`
-	Rate    int           `help:"Requests a second." default:"100"`
-	For     time.Duration `help:"How long." default:"10s"`
-	Timeout time.Duration `help:"How long a caller waits." default:"5s"`
+	Rate    int           `help:"Requests per second." default:"100"`
+	For     time.Duration `help:"Duration of the run." default:"10s"`
+	Timeout time.Duration `help:"Timeout of a request." default:"5s"`
 	Pid     []int         `help:"Processes whose processor time to print."`
 }
 
-// Validate refuses what is out of bounds; kong calls it.
+// Validate checks the flags' bounds. It is called by kong.
 func (f *flags) Validate() error {
 	u, err := url.Parse(f.URL)
 	if err != nil {
@@ -62,16 +64,16 @@
 	ip := net.ParseIP(u.Hostname())
 	switch {
 	case ip == nil || !ip.IsLoopback():
-		return errors.Newf("--url: %s is not on loopback", u.Host)
+		return errors.Newf("--url: host %s is not a loopback address", u.Host)
 	case f.Rate < 1 || f.Rate > maxRate:
-		return errors.Newf("--rate: must lie between 1 and %d", maxRate)
-	case f.For <= 0 || f.For > maxTime:
-		return errors.Newf("--for: must lie between 0s and %v", maxTime)
+		return errors.Newf("--rate must be from 1 to %d", maxRate)
+	case f.For <= 0 || f.For > maxDuration:
+		return errors.Newf("--for must be above 0s and at most %v", maxDuration)
 	}
 	return nil
 }
 
-// run is one run and what it saw.
+// run is one run and its results.
 type run struct {
 	flags
 	client *http.Client
@@ -97,7 +99,7 @@
 		return err
 	}
 	started := time.Now()
-	r.all()
+	r.sendAll()
 	after, err := processorTime(f.Pid)
 	if err != nil {
 		return err
@@ -106,11 +108,11 @@
 	return nil
 }
 
-// all sends every request of the run and waits for the answers.
-func (r *run) all() {
+// sendAll sends all requests of the run and waits for the responses.
+func (r *run) sendAll() {
 	ctx, cancel := context.WithTimeout(context.Background(), r.For)
 	defer cancel()
-	// A burst makes up for timers that fire late.
+	// The burst compensates for timers that fire late.
 	limiter := rate.NewLimiter(rate.Limit(r.Rate), 1+r.Rate/burstsPerSecond)
 	slots := make(chan struct{}, maxInFlight)
 	var wg sync.WaitGroup
@@ -119,14 +121,14 @@
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			r.one(due)
+			r.sendOne(due)
 		})
 	}
 	wg.Wait()
 }
 
-// one sends a request and notes the outcome, timed from when it was due.
-func (r *run) one(due time.Time) {
+// sendOne sends a request and records its outcome and its latency since due.
+func (r *run) sendOne(due time.Time) {
 	outcome := r.send()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -166,7 +168,7 @@
 	}
 }
 
-// processorTime sums the processor time that processes have used so far.
+// processorTime returns the total processor time that processes have used.
 func processorTime(pids []int) (time.Duration, error) {
 	var sum time.Duration
 	for _, pid := range pids {
@@ -174,9 +176,9 @@
 		if err != nil {
 			return 0, errors.Wrap(err, "--pid")
 		}
-		// The name in parentheses may hold blanks, so count from behind it.
+		// The name in parentheses may contain spaces, so count fields after it.
 		fields := strings.Fields(string(data[strings.LastIndexByte(string(data), ')')+1:]))
-		for _, field := range fields[statUser : statUser+2] {
+		for _, field := range fields[utimeField : utimeField+2] {
 			ticks, err := strconv.Atoi(field)
 			if err != nil {
 				return 0, errors.Wrap(err, "--pid")
