--- a/standin/control/control.go
+++ b/standin/control/control.go
@@ -1,4 +1,4 @@
-// Package control reads and writes the stand-ins' messages, JSON over HTTP.
+// Package control reads and writes the stand-ins' messages as JSON over HTTP.
 //
 // # Usage
 //
@@ -16,11 +16,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// MaxRequest bounds the body of a request, in bytes.
+// MaxRequest is the largest body of a request, in bytes.
 const MaxRequest = 64 << 20
 
-// Read reads a request's message. Where it cannot it answers 400 and returns
-// false.
+// Read decodes a request's message into m. If it fails it responds with 400 and
+// returns false.
 func Read(w http.ResponseWriter, r *http.Request, m proto.Message) bool {
 	data, err := io.ReadAll(io.LimitReader(r.Body, MaxRequest))
 	if err == nil {
@@ -33,7 +33,7 @@
 	return true
 }
 
-// Write answers with a message.
+// Write responds with a message.
 func Write(w http.ResponseWriter, m proto.Message) {
 	data, err := protojson.Marshal(m)
 	if err != nil {
--- a/standin/freeport/freeport.go
+++ b/standin/freeport/freeport.go
@@ -1,11 +1,11 @@
-// Package freeport gives out loopback addresses for listeners of tests and of the
-// soak.
+// Package freeport allocates loopback addresses for listeners of tests and of
+// tools/soak.
 //
-// A port taken from the system and closed again may go to an outgoing connection of
-// any process before its listener opens: a VM of a test then finds its address in
-// use, and one of the soak that is started again stays down. The ports given out
-// here are below those that the system gives to outgoing connections, and each is
-// given out once by a process.
+// A port that the system assigned and that was closed again may be assigned to an
+// outgoing connection of any process before its listener opens. A VM of a test then
+// finds its address in use, and a VM that tools/soak restarts stays down. The ports
+// allocated here are below the system's ephemeral ports, and a process allocates each
+// of them once.
 //
 // # Usage
 //
@@ -23,23 +23,23 @@
 )
 
 const (
-	// The range lies below 32768, where the system's ports for outgoing connections
-	// begin by default.
-	first = 20000
-	count = 12000
-	// each parts processes that run side by side.
-	each = 100
+	// The range lies below 32768, where the system's ephemeral ports start by default.
+	firstPort = 20000
+	portCount = 12000
+	// portsPerProcess is the distance between the first ports of processes with successive IDs, so
+	// that concurrent processes use different ports.
+	portsPerProcess = 100
 )
 
-// next counts the ports given out.
+// next counts the allocated ports.
 var next = atomic.Int64{}
 
-func init() { next.Store(int64(os.Getpid()) * each) }
+func init() { next.Store(int64(os.Getpid()) * portsPerProcess) }
 
-// Addr returns an address on loopback, IP:port, on which nobody listens.
+// Addr returns a loopback address, IP:port, that is not in use.
 func Addr() (string, error) {
-	for range count {
-		addr := fmt.Sprintf("127.0.0.1:%d", first+next.Add(1)%count)
+	for range portCount {
+		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+next.Add(1)%portCount)
 		l, err := net.Listen("tcp", addr)
 		if err == nil {
 			return addr, l.Close()
--- a/standin/freeport/freeport_test.go
+++ b/standin/freeport/freeport_test.go
@@ -7,8 +7,8 @@
 	"auburnlatch/standin/freeport"
 )
 
-// A port that was given out must not be given out again, though its listener is not
-// open yet, and must be outside of the system's own range.
+// A port must not be allocated twice, even if its listener is not open yet, and must lie
+// below the system's ephemeral ports.
 func TestEachAddressOnce(t *testing.T) {
 	seen := make(map[string]bool)
 	for range 200 {
@@ -17,7 +17,7 @@
 			t.Fatal(err)
 		}
 		if seen[addr] {
-			t.Fatalf("%s was given out twice", addr)
+			t.Fatalf("%s was allocated twice", addr)
 		}
 		seen[addr] = true
 		tcp, err := net.ResolveTCPAddr("tcp", addr)
@@ -25,7 +25,7 @@
 			t.Fatal(err)
 		}
 		if tcp.Port >= 32768 || !tcp.IP.IsLoopback() {
-			t.Errorf("%s is not on loopback below the system's range", addr)
+			t.Errorf("%s is not a loopback address below the ephemeral ports", addr)
 		}
 	}
 }
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -15,9 +15,10 @@
 	"auburnlatch/standin/control"
 )
 
+// defaultLimit is the number of rows that a scan returns if the request sets no limit.
 const defaultLimit = 1000
 
-// Platform is the stand-in, as an http.Handler.
+// Platform simulates the platform. It is an http.Handler.
 type Platform struct {
 	Table Table
 
@@ -61,42 +62,43 @@
 	p.mux.ServeHTTP(w, r)
 }
 
-// Faults returns the faults that are switched on.
+// Faults returns the faults that are being injected.
 func (p *Platform) Faults() Faults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults
 }
 
-// SetFaults switches faults on and off.
+// SetFaults replaces the faults to inject.
 func (p *Platform) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
 }
 
-// Stats returns what was counted so far.
+// Stats returns the counters.
 func (p *Platform) Stats() Stats {
 	p.Table.mu.Lock()
 	defer p.Table.mu.Unlock()
 	return p.Table.stats
 }
 
-// SetVM puts a VM on the list.
+// SetVM adds a VM to the list or replaces its entry.
 func (p *Platform) SetVM(name, zone, peer string, leaving bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.vms[name] = &schema.ListedVm{Name: name, Zone: zone, PeerAddr: peer, Leaving: leaving}
 }
 
-// RemoveVM takes a VM off the list.
+// RemoveVM removes a VM from the list.
 func (p *Platform) RemoveVM(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.vms, name)
 }
 
-// nextCommitFault takes one commit's fault off the counters.
+// nextCommitFault consumes and returns the fault of the next commit: whether to lose the
+// reply and how long to delay the write.
 func (p *Platform) nextCommitFault() (lose bool, late time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/platform/table.go
+++ b/standin/platform/table.go
@@ -1,6 +1,6 @@
-// Package platform is a stand-in for the platform: a transactional table with
-// conditional writes, an object store and a list of VMs, all in memory, with
-// switches for the faults the real one has. It is for tests and the demo.
+// Package platform simulates the platform in memory for tests and the demo: a
+// transactional table with conditional writes, an object store and a list of
+// VMs. It can inject the faults that the real platform has.
 //
 // # Usage
 //
@@ -25,7 +25,7 @@
 	value   []byte
 }
 
-// Table is the transactional table. The zero value is empty.
+// Table is the transactional table. The zero value is an empty table.
 type Table struct {
 	mu      sync.Mutex
 	rows    map[string]row
@@ -33,12 +33,12 @@
 	stats   Stats
 }
 
-// Stats counts what the platform was asked.
+// Stats are counters of the table's operations.
 type Stats struct {
 	Commits, RowsWritten, Reads, Conflicts uint64
 }
 
-// Faults switches the platform's faults; see schema.PlatformFaults.
+// Faults are the faults to inject; see schema.PlatformFaults.
 type Faults struct {
 	Outage      bool
 	Delay       time.Duration
@@ -47,8 +47,8 @@
 	Late        time.Duration
 }
 
-// commit applies all writes or none. Versions count up over all rows and are
-// never used twice, so a row that was deleted and written again is another.
+// commit applies all writes or none. Versions increase over all rows and are
+// never reused, so a row that was deleted and written again has a new version.
 func (t *Table) commit(req *schema.CommitRequest) *schema.CommitReply {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/standin/rusage/rusage.go
+++ b/standin/rusage/rusage.go
@@ -1,5 +1,5 @@
-// Package rusage tells how much processor time this process has taken, for benchmarks of
-// several VMs, callers and upstreams in one process.
+// Package rusage measures the processor time of this process, for benchmarks of several
+// VMs, callers and upstreams in one process.
 //
 // # Usage
 //
@@ -13,8 +13,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ProcessorTime returns the time that the process has taken so far, of all its threads, the
-// kernel's for it included.
+// ProcessorTime returns the user and system time that all threads of the process have used.
 func ProcessorTime() (time.Duration, error) {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/standin/rusage/rusage_test.go
+++ b/standin/rusage/rusage_test.go
@@ -17,11 +17,11 @@
 			t.Fatal(err)
 		}
 		if now < before {
-			t.Fatalf("%v after %v", now, before)
+			t.Fatalf("processor time fell from %v to %v", before, now)
 		}
 		if now > before {
 			return
 		}
 	}
-	t.Error("the process takes no time")
+	t.Error("processor time does not increase")
 }
--- a/standin/upstream/upstream.go
+++ b/standin/upstream/upstream.go
@@ -1,6 +1,6 @@
-// Package upstream is a stand-in for an upstream: a small HTTP service with a
-// number of slots, a health endpoint that can lie, and switches for its
-// faults. It counts what it runs, so that a test can ask it for the truth.
+// Package upstream simulates an upstream: a small HTTP service with a number of
+// slots, a health endpoint that can report a wrong state, and injected faults.
+// It counts the requests that it runs, for tests to check.
 //
 // # Usage
 //
@@ -26,7 +26,7 @@
 	"auburnlatch/standin/control"
 )
 
-// Upstream is one stand-in upstream, as an http.Handler.
+// Upstream is one simulated upstream. It is an http.Handler.
 type Upstream struct {
 	name  string
 	slots int
@@ -42,7 +42,7 @@
 	keys        map[string]uint64
 }
 
-// New returns an upstream with so many slots.
+// New returns an upstream with the given name and number of slots.
 func New(name string, slots int) *Upstream {
 	u := &Upstream{name: name, slots: slots, faults: &schema.UpstreamFaults{}, keys: map[string]uint64{}, mux: http.NewServeMux()}
 	u.mux.HandleFunc("GET /health", u.health)
@@ -55,21 +55,21 @@
 // ServeHTTP implements http.Handler.
 func (u *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) { u.mux.ServeHTTP(w, r) }
 
-// SetFaults switches the upstream's behaviour.
+// SetFaults replaces the faults to inject.
 func (u *Upstream) SetFaults(f *schema.UpstreamFaults) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.faults = f
 }
 
-// Runs returns how many requests with that Idempotency-Key ran.
+// Runs returns how many requests with the given Idempotency-Key ran.
 func (u *Upstream) Runs(key string) uint64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.keys[key]
 }
 
-// Stats returns what was counted so far.
+// Stats returns the counters.
 func (u *Upstream) Stats() *schema.UpstreamStats {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -83,7 +83,7 @@
 	return s
 }
 
-// admission is how one request is to be treated.
+// admission says how to treat one request.
 type admission struct {
 	shed      bool
 	cut       bool
@@ -119,15 +119,15 @@
 	return a
 }
 
-func (u *Upstream) leave() {
+func (u *Upstream) release() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.inFlight--
 }
 
-// work answers every service request: it reads the body, takes its time and
-// names itself, the path, and the length and hash of what it read. A query
-// "size" asks for an answer of so many further bytes.
+// work serves all service requests. It reads the body, waits for the configured
+// time and responds with the upstream's name, the path, and the length and hash
+// of the body. The query parameter "size" appends that many bytes to the response.
 func (u *Upstream) work(w http.ResponseWriter, r *http.Request) {
 	a := u.admit(r.Header.Get("Idempotency-Key"))
 	if a.shed {
@@ -135,7 +135,7 @@
 		http.Error(w, "shedding load", http.StatusServiceUnavailable)
 		return
 	}
-	defer u.leave()
+	defer u.release()
 	hash := sha256.New()
 	n, err := io.Copy(hash, r.Body)
 	if err != nil {
@@ -161,7 +161,7 @@
 	_, _ = io.CopyN(w, zeros{}, int64(size))
 }
 
-// zeros is an endless run of the digit 0.
+// zeros is an endless reader of the digit 0.
 type zeros struct{}
 
 func (zeros) Read(p []byte) (int, error) {
