--- a/schema/generate.sh
+++ b/schema/generate.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Generates the Go code of the .proto files; needs protoc from Debian's
-# package protobuf-compiler. Everything else builds without it.
+# Generates the Go code of the .proto files. This needs protoc from Debian's
+# package protobuf-compiler; the rest of the build does not.
 set -eu
 cd "$(dirname "$0")"
 tools=$(mktemp -d)
