--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
-# Two commands are enough on a fresh machine with Go and make:
-#   make demo    a small system on loopback, shown at work (KEEP=1 leaves it running)
-#   make check   everything CI checks
+# The main targets need only Go and make:
+#   make demo    runs a small system on loopback (KEEP=1 leaves it running)
+#   make check   runs all checks of the CI
 
 .PHONY: build demo check generate bench
 
--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -1,28 +1,30 @@
 /*
- * The claim protocol of core/claim: an operation under one key runs at most
- * once, and an attempt that was told NotRun never ran and leaves no claim.
+ * The claim protocol of core/claim: an operation with one idempotency key runs
+ * at most once, and an attempt that returned NotRun never ran and leaves no
+ * claim.
  *
- * One row of the platform's table. Attempts (a caller that retries through
- * several VMs) write it by compare-and-set. A write can be answered, or its
- * answer is lost; a write whose answer is lost takes effect now, at any later
- * time, or never. An attempt can crash at each step and can be paused for any
- * time between two steps. An operator may resolve a claim after its deadline.
+ * The model has one row of the platform's table. Attempts (of a caller that
+ * retries through several VMs) write it by compare-and-swap. The reply to a
+ * write arrives or is lost. A write whose reply is lost takes effect now, at
+ * any later time, or never. An attempt can crash at each step and can be paused
+ * for any time between two steps. An operator may resolve a claim after its
+ * deadline.
  *
  * Each step of an attempt is atomic, as is each transaction of the table. The
- * check of the deadline and the dispatch are one step: what lies between them
- * in reality is bounded by MaxWriteDelay (see claim.MayResolve).
+ * check of the deadline and the dispatch are one step. In the implementation
+ * the time between them is bounded by MaxWriteDelay (see claim.MayResolve).
  *
- * Seeded faults, to show that the checker finds them:
- *   -DSETTLE_BY_READ   a lost answer is settled by one read, no tombstone
- *   -DDISPATCH_EARLY   dispatch without waiting for the claim's answer
- *   -DNO_DEADLINE      a holder that wakes late dispatches all the same
+ * Seeded faults, which the checker must find:
+ *   -DSETTLE_BY_READ   a lost reply is settled by one read, without a tombstone
+ *   -DDISPATCH_EARLY   dispatches without waiting for the reply to the claim
+ *   -DNO_DEADLINE      a holder that resumes after its deadline dispatches
  */
 
 #ifndef ATTEMPTS
 #define ATTEMPTS 2
 #endif
 #define NOBODY   255
-#define LATE     3      /* writes under way at once, for each attempt */
+#define LATE     3      /* writes in flight at once, for each attempt */
 #define TRIES    2      /* claims of one attempt */
 #define SETTLES  2      /* lost tombstones of one attempt */
 
@@ -32,7 +34,7 @@
 typedef Lates { Late w[LATE]; };
 
 byte  ver = 0;          /* 0: no row */
-byte  last = 0;         /* versions are never used twice */
+byte  last = 0;         /* the newest version; versions are never reused */
 mtype st = Absent;
 byte  owner = NOBODY;
 
@@ -48,12 +50,12 @@
 	ver = last;
 	st = newSt;
 	owner = who;
-	/* An attempt that ended as not run must leave no claim behind: the row
-	 * would stay Claimed with nobody to settle it. */
+	/* An attempt that ended with NotRun must leave no claim: the row would
+	 * stay Claimed and nobody would settle it. */
 	assert(!(newSt == Claimed && settled[who] && toldNotRun[who]))
 }
 
-/* A write whose answer is lost: it is under way. */
+/* A write whose reply is lost stays in flight. */
 inline lose(onVer, newSt, who) {
 	if
 	:: !late[who].w[0].live -> late[who].w[0].live = true; late[who].w[0].cond = onVer; late[who].w[0].st = newSt
@@ -76,7 +78,7 @@
 	toldNotRun[who] = true
 }
 
-/* Writes that are under way take effect at any time, in any order, or never. */
+/* Writes in flight take effect at any time, in any order, or never. */
 active proctype Network() {
 	byte i, j;
 	mtype s;
@@ -98,8 +100,8 @@
 	od
 }
 
-/* Time passes, and an operator who found out at the upstream resolves claims
- * that are past their deadline. */
+/* Deadlines pass, and an operator who checked at the upstream whether the
+ * operation ran resolves claims that are past their deadline. */
 active proctype Operator() {
 	byte i;
 end:	do
@@ -115,7 +117,7 @@
 
 proctype Attempt(byte id) {
 	byte seen = 0, own = 0, claims = 0, settles = 0;
-	bool given = false;   /* the caller was told; dispatch nothing any more */
+	bool given = false;   /* NotRun was returned to the caller; must not dispatch */
 
 claim:	if
 	:: true -> goto crash
@@ -146,7 +148,7 @@
 	:: atomic { settles < SETTLES ->
 		settles++;
 		lose(seen, Tombstone, id);
-		/* The caller is told at once, which binds the attempt. */
+		/* NotRun is returned to the caller at once, so the attempt must not run. */
 		if :: !given -> sayNotRun(id); given = true :: given fi;
 		goto settle }
 	fi;
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,25 +1,25 @@
 /*
- * The lease on what is known of keys (core/lease, io/entry/teams.go): two VMs ask the platform
- * or each other for the newest rules, questions and answers take any time and are lost, VMs
- * start anew or do nothing for any time, and a key is taken away at any moment.
+ * The lease on the rules about keys (core/lease, io/entry/teams.go): two VMs request the newest
+ * rules from the platform or from each other. Requests and replies take any time or are lost,
+ * VMs restart or are paused for any time, and a key is revoked at any moment.
  *
- * Property: no VM admits the key later than BOUND after it was taken away.
+ * Property: no VM admits the key later than BOUND after it was revoked.
  *
- * Seeded faults, each of which has to be found:
- *   BY_ANSWER  what is known counts from the answer and not from the question
- *   NO_AGE     a VM that asks another leaves out how old that one's knowledge is
+ * Seeded faults, each of which the checker must find:
+ *   BY_ANSWER  the lease starts when the reply arrives instead of when the request was sent
+ *   NO_AGE     the age of the rules received from the other VM is not subtracted
  */
 #define BOUND 2
 #define LAST 7
 #define VMS 2
 
 typedef Vm {
-	bool knows;	/* that the key was taken away */
-	byte asOf;	/* as of when it knows the rules; 0: never */
-	byte phase;	/* 0: asks nothing, 1: has asked, 2: is answered */
+	bool knows;	/* the VM knows that the key was revoked */
+	byte asOf;	/* the time as of which its rules are verified; 0: never */
+	byte phase;	/* 0: idle, 1: request sent, 2: reply in flight */
 	byte askedAt;
-	bool heard;	/* the key was taken away, as of the answer */
-	byte age;
+	bool heard;	/* the key is revoked according to the reply */
+	byte age;	/* the age of the reply's rules */
 }
 
 Vm vm[VMS];
@@ -77,7 +77,7 @@
 #endif
 		:: vm[v].phase == 2 -> deliver(v)
 		:: vm[v].phase != 0 -> forget(v) /* lost */
-		:: vm[v].knows = false; vm[v].asOf = 0; forget(v) /* starts anew */
+		:: vm[v].knows = false; vm[v].asOf = 0; forget(v) /* restarts */
 		fi;
 		assert(!(LATE && (ADMITS(0) || ADMITS(1))));
 		v = 0; other = 0
