--- a/io/entry/copies.go
+++ b/io/entry/copies.go
@@ -321,7 +321,7 @@
 	change, soon := v.registry.Update(now, v.readTargets(), ev)
 	v.balancer.ChangeTargets(change.Updated, change.Gone)
 	ended := slices.Concat(change.Gone, v.registry.AtAddresses(change.Added))
-	v.guard.Replaced(v.workCtx, now, upstreamsOf(ended), upstreamsOf(change.Added))
+	v.guard.RegistrationsChanged(v.workCtx, now, upstreamsOf(ended), upstreamsOf(change.Added))
 	first := !v.targets.known()
 	v.targets.change(change.Added, change.Gone)
 	if first {
--- a/io/entry/doc.go
+++ b/io/entry/doc.go
@@ -72,12 +72,12 @@
 	SavePlacements(ctx context.Context, region string, data []byte) error
 	// Placements returns a region's placements, or nil if there are none.
 	Placements(ctx context.Context, region string) ([]byte, error)
-	// KeepBans stores bans of requests. Each replaces an earlier ban of its request.
-	KeepBans(ctx context.Context, bans []poison.Ban) error
+	// SaveBans stores bans of requests. Each replaces an earlier ban of its request.
+	SaveBans(ctx context.Context, bans []poison.Ban) error
 	// Bans returns all bans.
 	Bans(ctx context.Context) ([]poison.Ban, error)
-	// DropBans deletes the bans of some requests.
-	DropBans(ctx context.Context, prints []poison.Print) error
+	// DeleteBans deletes the bans of some requests.
+	DeleteBans(ctx context.Context, prints []poison.Print) error
 }
 
 // Protocol has the names of the header fields that callers and upstreams use.
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -113,7 +113,7 @@
 		opts = append(opts, quarantine.WithFirstStart())
 		v.limits.AssumeNoPriorTraffic()
 	}
-	v.guard = quarantine.New(cfg.Name, fleet{v}, countedKeeper{v}, v.upstreams, log, opts...)
+	v.guard = quarantine.New(cfg.Name, fleet{v}, countedBanStore{v}, v.upstreams, log, opts...)
 	v.requests.log = log
 	v.workCtx, v.cancelWork = context.WithCancel(context.Background())
 	v.Configure(cfg)
--- a/io/entry/fake_test.go
+++ b/io/entry/fake_test.go
@@ -192,7 +192,7 @@
 	return p.placements[region], nil
 }
 
-func (p *fakePlatform) KeepBans(_ context.Context, bans []poison.Ban) error {
+func (p *fakePlatform) SaveBans(_ context.Context, bans []poison.Ban) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.unavailable {
@@ -213,7 +213,7 @@
 	return slices.Collect(maps.Values(p.bans)), nil
 }
 
-func (p *fakePlatform) DropBans(_ context.Context, prints []poison.Print) error {
+func (p *fakePlatform) DeleteBans(_ context.Context, prints []poison.Print) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, print := range prints {
--- a/io/entry/quarantine.go
+++ b/io/entry/quarantine.go
@@ -90,8 +90,8 @@
 // fleet is the quarantine's view of the other VMs.
 type fleet struct{ *VM }
 
-// Mates implements quarantine.Fleet.
-func (f fleet) Mates(now time.Time) []string {
+// Peers implements quarantine.Fleet.
+func (f fleet) Peers(now time.Time) []string {
 	var addrs []string
 	for _, m := range f.members.Peers(now) {
 		if m.State != member.Gone && now.Sub(m.Heard) < silentRetention {
@@ -109,8 +109,8 @@
 	return append(namesOf(f.zonePeers(now)), f.cfg.Load().Name)
 }
 
-// HearsAllZones implements quarantine.Fleet.
-func (f fleet) HearsAllZones(now time.Time, within time.Duration) bool {
+// SeesAllZones implements quarantine.Fleet.
+func (f fleet) SeesAllZones(now time.Time, within time.Duration) bool {
 	newest := make(map[string]time.Duration)
 	for _, m := range f.members.Peers(now) {
 		age := now.Sub(m.Heard)
@@ -129,29 +129,29 @@
 	return len(newest) > 0
 }
 
-// countedKeeper is the platform, with its calls counted.
-type countedKeeper struct{ *VM }
+// countedBanStore is the platform, with its calls counted.
+type countedBanStore struct{ *VM }
 
-// KeepBans implements quarantine.Keeper.
-func (k countedKeeper) KeepBans(ctx context.Context, bans []poison.Ban) error {
-	return k.counted(k.platform.KeepBans(ctx, bans))
+// SaveBans implements quarantine.BanStore.
+func (s countedBanStore) SaveBans(ctx context.Context, bans []poison.Ban) error {
+	return s.counted(s.platform.SaveBans(ctx, bans))
 }
 
-// Bans implements quarantine.Keeper.
-func (k countedKeeper) Bans(ctx context.Context) ([]poison.Ban, error) {
-	bans, err := k.platform.Bans(ctx)
-	return bans, k.counted(err)
+// Bans implements quarantine.BanStore.
+func (s countedBanStore) Bans(ctx context.Context) ([]poison.Ban, error) {
+	bans, err := s.platform.Bans(ctx)
+	return bans, s.counted(err)
 }
 
-// DropBans implements quarantine.Keeper.
-func (k countedKeeper) DropBans(ctx context.Context, prints []poison.Print) error {
-	return k.counted(k.platform.DropBans(ctx, prints))
+// DeleteBans implements quarantine.BanStore.
+func (s countedBanStore) DeleteBans(ctx context.Context, prints []poison.Print) error {
+	return s.counted(s.platform.DeleteBans(ctx, prints))
 }
 
-func (k countedKeeper) counted(err error) error {
-	k.counts.platformCalls.Add(1)
+func (s countedBanStore) counted(err error) error {
+	s.counts.platformCalls.Add(1)
 	if err != nil {
-		k.counts.platformErrors.Add(1)
+		s.counts.platformErrors.Add(1)
 	}
 	return err
 }
--- a/io/platform/bans.go
+++ b/io/platform/bans.go
@@ -21,7 +21,7 @@
 var errBanConflict = errors.New("bans: another VM changed the rows at the same time")
 
 // Bans persists bans of requests on the platform, one per row. It implements
-// quarantine.Keeper.
+// quarantine.BanStore.
 type Bans struct{ table *Client }
 
 // NewBans returns the bans persisted on a platform.
@@ -29,8 +29,8 @@
 
 func banKey(p poison.Print) string { return banPrefix + p.String() }
 
-// KeepBans implements quarantine.Keeper.
-func (b *Bans) KeepBans(ctx context.Context, bans []poison.Ban) error {
+// SaveBans implements quarantine.BanStore.
+func (b *Bans) SaveBans(ctx context.Context, bans []poison.Ban) error {
 	var writes []Write
 	for _, ban := range bans {
 		row, err := b.table.Get(ctx, banKey(ban.Print))
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// Bans implements quarantine.Keeper. Rows that cannot be decoded are left out.
+// Bans implements quarantine.BanStore. Rows that cannot be decoded are left out.
 func (b *Bans) Bans(ctx context.Context) ([]poison.Ban, error) {
 	var list []poison.Ban
 	for after := ""; ; {
@@ -83,8 +83,8 @@
 	}
 }
 
-// DropBans implements quarantine.Keeper.
-func (b *Bans) DropBans(ctx context.Context, prints []poison.Print) error {
+// DeleteBans implements quarantine.BanStore.
+func (b *Bans) DeleteBans(ctx context.Context, prints []poison.Print) error {
 	var writes []Write
 	for _, p := range prints {
 		row, err := b.table.Get(ctx, banKey(p))
--- a/io/platform/bans_test.go
+++ b/io/platform/bans_test.go
@@ -20,7 +20,7 @@
 	a, b := (&poison.Content{URI: "/a"}).Print(), (&poison.Content{URI: "/b"}).Print()
 	want := []poison.Ban{{Print: a, At: 9, Lifted: true}, {Print: b, At: 8}}
 	for _, list := range [][]poison.Ban{nil, {{Print: a, At: 7}, want[1]}, want[:1]} {
-		if err := bans.KeepBans(ctx, list); err != nil {
+		if err := bans.SaveBans(ctx, list); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -37,7 +37,7 @@
 		t.Errorf("%d bans, want %d", len(got), len(want))
 	}
 	for range 2 {
-		if err := bans.DropBans(ctx, []poison.Print{a, b}); err != nil {
+		if err := bans.DeleteBans(ctx, []poison.Print{a, b}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/io/quarantine/bans.go
+++ b/io/quarantine/bans.go
@@ -59,7 +59,7 @@
 	s.loadedAt = now
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	bans, err := g.keeper.Bans(ctx)
+	bans, err := g.store.Bans(ctx)
 	if err != nil {
 		g.log.WithField("Err", err).Info("BansNotRecalled")
 		return
@@ -76,7 +76,7 @@
 	switch {
 	case !s.loaded:
 		return loadInterval, true
-	case g.fleet.HearsAllZones(now, zoneSilence):
+	case g.fleet.SeesAllZones(now, zoneSilence):
 		return rereadInterval, g.ledger.Digest() != 0 && g.designated(g.fleet.Live(now))
 	default:
 		return loadInterval, g.designated(g.fleet.ZoneLive(now))
@@ -105,7 +105,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := g.keeper.DropBans(ctx, dropped); err != nil {
+	if err := g.store.DeleteBans(ctx, dropped); err != nil {
 		// A row that remains is deleted by the VM that next reads it.
 		g.log.WithField("Err", err).Info("BansNotDropped")
 	}
@@ -127,7 +127,7 @@
 	s.savedAt = now
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := g.keeper.KeepBans(ctx, list); err != nil {
+	if err := g.store.SaveBans(ctx, list); err != nil {
 		g.log.WithFields(logrus.Fields{"Bans": len(list), "Err": err}).Info("BansNotKept")
 		return
 	}
--- a/io/quarantine/doc.go
+++ b/io/quarantine/doc.go
@@ -4,7 +4,7 @@
 //
 // # Usage
 //
-//	g := quarantine.New(name, fleet, keeper, prober, log)
+//	g := quarantine.New(name, fleet, bans, prober, log)
 //	datagrams, err := peer.ListenDatagrams(addr, placements, g.Ledger())
 //	g.Start(ctx, &group, datagrams)
 //
@@ -33,26 +33,26 @@
 
 // Fleet is this VM's view of the other VMs.
 type Fleet interface {
-	// Mates returns the addresses at which all peers that may be running receive
+	// Peers returns the addresses at which all peers that may be running receive
 	// datagrams. It includes unreachable ones, as they may become reachable again.
-	Mates(now time.Time) []string
+	Peers(now time.Time) []string
 	// Live returns the names of the live VMs, including this one, and ZoneLive those of
 	// its availability zone.
 	Live(now time.Time) []string
 	ZoneLive(now time.Time) []string
-	// HearsAllZones reports whether, for each availability zone that has VMs, a VM was
+	// SeesAllZones reports whether, for each availability zone that has VMs, a VM was
 	// seen within the given time. It is false if this VM knows no peer.
-	HearsAllZones(now time.Time, within time.Duration) bool
+	SeesAllZones(now time.Time, within time.Duration) bool
 }
 
-// Keeper stores bans where they outlive the VMs.
-type Keeper interface {
-	// KeepBans stores bans, each in place of an earlier one of its request.
-	KeepBans(ctx context.Context, bans []poison.Ban) error
+// BanStore stores bans where they outlive the VMs.
+type BanStore interface {
+	// SaveBans stores bans, each in place of an earlier one of its request.
+	SaveBans(ctx context.Context, bans []poison.Ban) error
 	// Bans returns all bans.
 	Bans(ctx context.Context) ([]poison.Ban, error)
-	// DropBans deletes the bans of some requests.
-	DropBans(ctx context.Context, prints []poison.Print) error
+	// DeleteBans deletes the bans of some requests.
+	DeleteBans(ctx context.Context, prints []poison.Print) error
 }
 
 // Prober finds out whether a process accepts connections at an address.
@@ -65,7 +65,7 @@
 	self      string
 	ledger    *poison.Ledger
 	fleet     Fleet
-	keeper    Keeper
+	store     BanStore
 	prober    Prober
 	log       *logrus.Entry
 	newsReady chan struct{}
@@ -83,12 +83,12 @@
 // load.
 func WithFirstStart() Option { return func(g *Guard) { g.firstStart = true } }
 
-// WithEnds has f called with each upstream that has crashed, possibly more than once.
-func WithEnds(f func(Upstream)) Option { return func(g *Guard) { g.onCrash = f } }
+// WithCrashHandler has f called with each upstream that has crashed, possibly more than once.
+func WithCrashHandler(f func(Upstream)) Option { return func(g *Guard) { g.onCrash = f } }
 
 // New returns a Guard without bans for the VM named self.
-func New(self string, f Fleet, k Keeper, p Prober, log *logrus.Entry, opts ...Option) *Guard {
-	g := &Guard{self: self, fleet: f, keeper: k, prober: p, log: log, newsReady: make(chan struct{}, 1), started: time.Now(), onCrash: func(Upstream) {}}
+func New(self string, f Fleet, b BanStore, p Prober, log *logrus.Entry, opts ...Option) *Guard {
+	g := &Guard{self: self, fleet: f, store: b, prober: p, log: log, newsReady: make(chan struct{}, 1), started: time.Now(), onCrash: func(Upstream) {}}
 	g.ledger = poison.NewLedger(poison.WithNews(g.notify), poison.WithTrialOffset(g.trialOffset))
 	for _, opt := range opts {
 		opt(g)
--- a/io/quarantine/ends.go
+++ b/io/quarantine/ends.go
@@ -95,17 +95,18 @@
 	g.log.WithFields(logrus.Fields{"Target": u.ID, "Addr": u.Addr, "UnderWay": len(runs), "Prints": strings.Join(prints, ",")}).Warn("UpstreamEnded")
 }
 
-// Replaced records that registrations of upstreams have changed. A removed upstream whose
-// address was added again has crashed. Any other removed upstream may have crashed or may
-// go on serving for a while; it is probed if requests were abandoned there. This detects
-// the upstreams of a host that lost power: such a host resets no connections, so nothing
+// RegistrationsChanged records that registrations of upstreams have changed. previous are
+// the upstreams that are no longer registered or whose address one in added has taken over.
+// In the second case the upstream has crashed. In the first it may have crashed or may go on
+// serving for a while; it is probed if requests were abandoned there. This detects the
+// crashed upstreams of a host that lost power: such a host resets no connections, so nothing
 // else reveals that they are gone.
-func (g *Guard) Replaced(ctx context.Context, now time.Time, removed, added []Upstream) {
+func (g *Guard) RegistrationsChanged(ctx context.Context, now time.Time, previous, added []Upstream) {
 	reused := make(map[string]bool, len(added))
 	for _, u := range added {
 		reused[u.Addr] = true
 	}
-	for _, u := range removed {
+	for _, u := range previous {
 		switch {
 		case reused[u.Addr]:
 			g.crashed(now, u)
--- a/io/quarantine/teller.go
+++ b/io/quarantine/teller.go
@@ -51,7 +51,7 @@
 			p.tick(now)
 		}
 		if n := g.ledger.TakeNews(); !n.Empty() {
-			p.peer.SendPoison(g.fleet.Mates(time.Now()), n)
+			p.peer.SendPoison(g.fleet.Peers(time.Now()), n)
 		}
 		if !lifecycle.Sleep(ctx, publishInterval) {
 			return
@@ -75,7 +75,7 @@
 	if !pullDue && !compareDue {
 		return
 	}
-	peers := g.fleet.Mates(now)
+	peers := g.fleet.Peers(now)
 	if len(peers) == 0 {
 		return
 	}
--- a/io/vm/quarantine.go
+++ b/io/vm/quarantine.go
@@ -62,8 +62,8 @@
 // fleetView implements quarantine.Fleet.
 type fleetView struct{ *VM }
 
-// Mates implements quarantine.Fleet.
-func (f fleetView) Mates(now time.Time) []string {
+// Peers implements quarantine.Fleet.
+func (f fleetView) Peers(now time.Time) []string {
 	var addrs []string
 	for _, z := range f.zoneViews(now) {
 		for _, vm := range z.VMs {
@@ -89,8 +89,8 @@
 // ZoneLive implements quarantine.Fleet.
 func (f fleetView) ZoneLive(now time.Time) []string { return f.table.Live(now) }
 
-// HearsAllZones implements quarantine.Fleet.
-func (f fleetView) HearsAllZones(now time.Time, within time.Duration) bool {
+// SeesAllZones implements quarantine.Fleet.
+func (f fleetView) SeesAllZones(now time.Time, within time.Duration) bool {
 	// Zones exchange state only every globalHeartbeats heartbeats.
 	within = max(within, 2*globalHeartbeats*f.cfg.Timing.Heartbeat)
 	views := f.table.Zones(now)
--- a/io/vm/vm.go
+++ b/io/vm/vm.go
@@ -122,7 +122,7 @@
 	v.table = member.NewTable(cfg.Name, cfg.Zone, v.incarnation, now, member.WithFailAfter(cfg.Timing.FailAfter))
 	v.peerSrv = peer.NewServer(v.table, v.config, &v.rows)
 	generations := &generations{}
-	v.guard = quarantine.New(cfg.Name, fleetView{v}, platform.NewBans(client), v.upstreams, log, quarantine.WithEnds(generations.next))
+	v.guard = quarantine.New(cfg.Name, fleetView{v}, platform.NewBans(client), v.upstreams, log, quarantine.WithCrashHandler(generations.next))
 	v.router = &route.Router{
 		Guard: &routeGuard{Guard: v.guard, generations: generations, work: v.work},
 		Self:  cfg.Name, Zone: cfg.Zone, Pool: v.pool, Rows: &v.rows, Meter: &v.meter, Budget: &v.budget, Reach: &v.reach,
