--- a/io/forward/doc.go
+++ b/io/forward/doc.go
@@ -5,7 +5,7 @@
 // Requests are sent over HTTP and not over drpc, because bodies must stream in
 // both directions with flow control by the reader, and a VM without a free slot
 // must be able to refuse before the body is sent. HTTP with Expect: 100-continue
-// has both. docs/design/crossing.md has the measurement.
+// has both; see docs/design/crossing.md.
 //
 // # Usage
 //
@@ -16,7 +16,7 @@
 
 import "time"
 
-// Mode says how the receiving VM serves a request.
+// Mode determines how the receiving VM serves a request.
 type Mode string
 
 const (
--- a/io/logline/causes.go
+++ b/io/logline/causes.go
@@ -98,8 +98,9 @@
 	began                 time.Time
 	route, object, target string
 	reason                string
-	// objective is the route's. pipelineWait is the wait for earlier responses on the
-	// caller's connection, and rtt the round trip to the upstream.
+	// objective is the route's latency objective, 0 if it is not logged. pipelineWait is
+	// the wait for earlier responses on the caller's connection, and rtt the round trip
+	// to the upstream.
 	took, objective, pipelineWait, rtt time.Duration
 	// inFlight is the number of requests that the upstream was believed to have.
 	tries, inFlight, slots int
--- a/io/route/router.go
+++ b/io/route/router.go
@@ -195,7 +195,7 @@
 	return m
 }
 
-// Serve handles a request that another VM sent, as its mode says.
+// Serve handles a request that another VM sent, according to its mode.
 func (r *Router) Serve(ctx context.Context, meta forward.Meta, hr *http.Request) (*http.Response, error) {
 	req := &Request{
 		Service: meta.Service, Origin: meta.Origin, Deadline: meta.Deadline, HTTP: hr, Body: streamBody(hr),
--- a/io/settings/entry.go
+++ b/io/settings/entry.go
@@ -51,7 +51,7 @@
 	Limits ratelimit.Bounds
 	// Capacity is the VM's link and CPU capacity.
 	Capacity member.Capacity
-	// FirstStart says that all VMs start for the first time, before there are callers.
+	// FirstStart means that all VMs start for the first time, before there are callers.
 	FirstStart bool
 }
 
--- a/io/vm/fleet_test.go
+++ b/io/vm/fleet_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// kill simulates the sudden death of a VM: it cuts all connections between the VM
+// kill simulates the crash of a VM: it cuts all connections between the VM
 // and the other VMs, the platform and the upstreams.
 func (f *fleet) kill(name string) {
 	dead := f.vms[name]
--- a/io/vm/health.go
+++ b/io/vm/health.go
@@ -32,40 +32,40 @@
 
 // record records the outcome of a probe and returns the upstream's state after and
 // before it. A single failed probe does not change the state.
-func (b *healthRecord) record(target string, h dispatch.Health, err error) (now, before dispatch.Health) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.states == nil {
-		b.states, b.failed = map[string]dispatch.Health{}, map[string]int{}
+func (r *healthRecord) record(target string, h dispatch.Health, err error) (now, before dispatch.Health) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.states == nil {
+		r.states, r.failed = map[string]dispatch.Health{}, map[string]int{}
 	}
-	before = b.states[target]
+	before = r.states[target]
 	if err != nil {
-		b.failed[target]++
-		if b.failed[target] < downThreshold {
+		r.failed[target]++
+		if r.failed[target] < downThreshold {
 			return before, before
 		}
 		h = dispatch.Down
 	} else {
-		b.failed[target] = 0
+		r.failed[target] = 0
 	}
-	b.states[target] = h
+	r.states[target] = h
 	return h, before
 }
 
 // retain deletes the results of upstreams that this VM does not probe any more.
-func (b *healthRecord) retain(probed map[string]bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	maps.DeleteFunc(b.states, func(target string, _ dispatch.Health) bool { return !probed[target] })
-	maps.DeleteFunc(b.failed, func(target string, _ int) bool { return !probed[target] })
+func (r *healthRecord) retain(probed map[string]bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	maps.DeleteFunc(r.states, func(target string, _ dispatch.Health) bool { return !probed[target] })
+	maps.DeleteFunc(r.failed, func(target string, _ int) bool { return !probed[target] })
 }
 
 // reports returns the states other than Up, which the VM publishes to its peers.
-func (b *healthRecord) reports() map[string]string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *healthRecord) reports() map[string]string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	out := make(map[string]string)
-	for target, h := range b.states {
+	for target, h := range r.states {
 		if h != dispatch.Up {
 			out[target] = h.String()
 		}
@@ -74,10 +74,10 @@
 }
 
 // probes reports whether this VM has probed the target itself.
-func (b *healthRecord) probes(target string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	_, ok := b.states[target]
+func (r *healthRecord) probes(target string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	_, ok := r.states[target]
 	return ok
 }
 
--- a/io/vm/heartbeat.go
+++ b/io/vm/heartbeat.go
@@ -28,7 +28,7 @@
 	listHeartbeats = 10
 	// joiningListHeartbeats is the same for a VM that is not on the list yet.
 	joiningListHeartbeats = 2
-	// joinHeartbeats is how long a VM on the platform's list only receives before
+	// joinHeartbeats is how long a VM on the platform's list receives state before
 	// it takes slots, in heartbeats: about the time in which an update reaches all
 	// VMs of a zone.
 	joinHeartbeats = 4
@@ -79,7 +79,7 @@
 	}
 }
 
-// joinHold is how long a listed VM only receives before it takes slots.
+// joinHold is how long a listed VM receives state before it takes slots.
 func (v *VM) joinHold() time.Duration { return joinHeartbeats * v.cfg.Timing.Heartbeat }
 
 // address returns the VM's own addresses.
--- a/io/vm/operator.go
+++ b/io/vm/operator.go
@@ -167,7 +167,7 @@
 func (v *VM) reasons(now time.Time, answer *steer.Answer, key steer.RowKey) []string {
 	var list []string
 	if answer.Place == "" {
-		list = append(list, fmt.Sprintf("no place has the client's block, so it counts as of this VM's zone %s", v.cfg.Zone))
+		list = append(list, fmt.Sprintf("no place has the client's address, so its origin is this VM's zone %s", v.cfg.Zone))
 	} else {
 		list = append(list, fmt.Sprintf("the client's block belongs to place %s, nearest to zone %s", answer.Place, answer.Zone))
 	}
@@ -177,7 +177,7 @@
 	case d.GetLeft() < minReportedDistance:
 		list = append(list, "the weights in use are the wanted ones")
 	case d.GetEstimate() == nil:
-		list = append(list, fmt.Sprintf("%.1f%% of the traffic is still to move, and will not within a day", percent*d.GetLeft()))
+		list = append(list, fmt.Sprintf("%.1f%% of the traffic is still to move, which takes more than a day", percent*d.GetLeft()))
 	default:
 		list = append(list, fmt.Sprintf("%.1f%% of the traffic is still to move, in about %v; %.1f%% moved within the last minute, which the cap bounds",
 			percent*d.GetLeft(), d.GetEstimate().AsDuration(), percent*d.GetMovedInWindow()))
--- a/io/vm/sweep.go
+++ b/io/vm/sweep.go
@@ -14,8 +14,8 @@
 const sweepInterval = time.Hour
 
 // sweepLoop deletes claims whose retention has ended. One VM of the whole system
-// does so; if two VMs both take themselves for that one, they delete the same rows,
-// which does no harm.
+// does so. If two VMs do so at the same time, they delete the same rows, which does
+// no harm.
 func (v *VM) sweepLoop(ctx context.Context) {
 	lifecycle.Every(ctx, sweepInterval, func(now time.Time) {
 		if !v.sweeps(now) {
