--- a/tools/demo/steps.go
+++ b/tools/demo/steps.go
@@ -146,7 +146,7 @@
 	if err != nil || runs != 1 {
 		return "", errors.Newf("the booking ran %d times (%v)", runs, err)
 	}
-	return "ran once by the upstreams' count, same whole answer twice", nil
+	return "ran once by the upstreams' counters; both responses are identical", nil
 }
 
 // runs returns how often requests with the given key ran, by the counters of all upstreams.
@@ -180,7 +180,7 @@
 	if !strings.Contains(string(body), hex.EncodeToString(sum[:])) {
 		return "", errors.Newf("the upstream's response does not contain the upload's hash: %q", body)
 	}
-	return fmt.Sprintf("%d bytes arrived whole", len(recording)), nil
+	return fmt.Sprintf("%d bytes arrived complete", len(recording)), nil
 }
 
 // waitForSlots waits until each VM reports all slots of each zone, and no more, as in
--- a/tools/soak/fleet.go
+++ b/tools/soak/fleet.go
@@ -230,7 +230,7 @@
 	for _, v := range f.vms {
 		for line := range strings.Lines(v.logs.String()) {
 			if strings.Contains(line, "auburnlatch-entry: error:") {
-				list = append(list, v.name+" ended by itself: "+strings.TrimSpace(line))
+				list = append(list, v.name+" exited unexpectedly: "+strings.TrimSpace(line))
 			}
 		}
 	}
--- a/tools/soak/ledger.go
+++ b/tools/soak/ledger.go
@@ -154,10 +154,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var requests []time.Time
-	broke := func(promise, id string) { r.broken = append(r.broken, promise+": request "+id) }
+	broke := func(how, id string) { r.broken = append(r.broken, how+": request "+id) }
 	for id, e := range l.entries {
 		if e.at.IsZero() {
-			broke("an upstream ran what nobody asked", id)
+			broke("an upstream received a request that no caller sent", id)
 			continue
 		}
 		requests = append(requests, e.at)
@@ -175,22 +175,22 @@
 		}
 		r.repeated += max(0, e.ran-1)
 		if e.status == 200 && !e.intact {
-			broke("an answer was not whole or not the request's own", id)
+			broke("the response was incomplete or another request's", id)
 		}
 		if e.status == 200 && e.ran == 0 {
-			broke("an answer came though nothing ran", id)
+			broke("a response arrived though no upstream ran the request", id)
 		}
 		if e.atMostOnce && e.ran > 1 {
-			broke(fmt.Sprintf("ran %d times and may run once", e.ran), id)
+			broke(fmt.Sprintf("ran %d times, may run at most once", e.ran), id)
 		}
 		if e.atMostOnce && (e.status == 503 || e.status == 429) && e.ran > 0 {
-			broke("refused as not run, and ran", id)
+			broke("refused as not run, but ran", id)
 		}
 		if e.status == 404 {
 			broke("404 for a route that all versions have", id)
 		}
 		if e.late {
-			broke("reached an upstream long after it had said that it leaves", id)
+			broke("reached an upstream long after it had registered as draining", id)
 		}
 		if e.at.After(calm) && !e.canceled {
 			r.lastAsked++
@@ -232,7 +232,7 @@
 		}
 	}
 	if r.poisoned-late >= poisonCrashes && late > maxLatePoison {
-		broken = append(broken, fmt.Sprintf("a request under which %d upstreams had ended reached upstreams %d times more after all faults were over", r.poisoned-late, late))
+		broken = append(broken, fmt.Sprintf("the poison request, after %d runs at upstreams, reached upstreams %d more times after all faults were over", r.poisoned-late, late))
 	}
 	return broken
 }
@@ -243,7 +243,7 @@
 		verdict = "BROKEN"
 	}
 	fmt.Fprintf(w, "seed %d: %s; %d requests, %d served, %d refused, %d failed, %d runs repeated, %d of %d served at the end; %s; faults: %s\n",
-		r.seed, verdict, r.requests, r.served, r.refused, r.failed, r.repeated, r.lastOK, r.lastAsked, r.promises(), summary(r.faults))
+		r.seed, verdict, r.requests, r.served, r.refused, r.failed, r.repeated, r.lastOK, r.lastAsked, r.checkCounts(), summary(r.faults))
 	for _, line := range r.broken[:min(len(r.broken), 10)] {
 		fmt.Fprintf(w, "  %s\n", line)
 	}
--- a/tools/soak/main.go
+++ b/tools/soak/main.go
@@ -72,7 +72,7 @@
 		}
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d seeds broke a promise", failed, c.Seeds)
+		return fmt.Errorf("%d of %d seeds broke a guarantee", failed, c.Seeds)
 	}
 	return nil
 }
@@ -97,9 +97,9 @@
 func (c *upstreamCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	for life := 0; ; life++ {
+	for incarnation := 0; ; incarnation++ {
 		err := standin.NewUpstream(standin.UpstreamConfig{
-			ID: fmt.Sprint(c.ID, "-", life), Service: c.Service, Zone: c.Zone, Addr: c.Addr, Listen: c.Listen, Store: c.Store,
+			ID: fmt.Sprint(c.ID, "-", incarnation), Service: c.Service, Zone: c.Zone, Addr: c.Addr, Listen: c.Listen, Store: c.Store,
 			CutShare: c.CutShare, FailShare: c.FailShare, Report: os.Stdout,
 		}).Run(ctx)
 		if !errors.Is(err, standin.ErrEnded) {
--- a/tools/soak/notices.go
+++ b/tools/soak/notices.go
@@ -20,7 +20,7 @@
 	// noticeInterval is the mean time between the starts of two announcements.
 	noticeInterval = 1500 * time.Millisecond
 	// limitWindow is the window over which requests are counted against an upstream's
-	// limit. The limit may be exceeded by the factor limitExcess, plus limitSlack requests.
+	// limit. At most limitExcess times the limit plus limitSlack requests may arrive in it.
 	limitWindow    = 4 * time.Second
 	limitExcess    = 1.5
 	limitSlack     = 5
@@ -38,7 +38,8 @@
 	exemptFor = 4 * time.Second
 )
 
-// noticeInjector makes upstreams announce things, on a schedule determined by a seed.
+// noticeInjector makes upstreams announce limits, pauses and that they leave, on a
+// schedule determined by a seed.
 type noticeInjector struct {
 	fleet *fleet
 	chaos *chaos
@@ -46,8 +47,7 @@
 	wait  sync.WaitGroup
 }
 
-// run makes upstreams announce things until end and returns when the last announcement is
-// over.
+// run starts announcements until end and returns when the last one is over.
 func (n *noticeInjector) run(ctx context.Context, end time.Time) {
 	for time.Now().Before(end) && ctx.Err() == nil {
 		which := n.rnd.IntN(1000)
@@ -197,14 +197,14 @@
 	defer l.mu.Unlock()
 	for name, h := range l.upstreams {
 		if n := h.overLimit(x, upstreamOf(name)); n > 0 {
-			broken = append(broken, fmt.Sprintf("upstream %s named a limit of %d a second and got %d requests in %v", name, announcedLimit, n, limitWindow))
+			broken = append(broken, fmt.Sprintf("upstream %s announced a limit of %d requests per second and received %d in %v", name, announcedLimit, n, limitWindow))
 		}
 		if n, vm, at := h.inPause(x, upstreamOf(name)); n > 0 {
-			broken = append(broken, fmt.Sprintf("upstream %s asked %s for a pause of %v at %s and got %d requests of it",
+			broken = append(broken, fmt.Sprintf("upstream %s asked %s for a pause of %v at %s and received %d requests from it",
 				name, vm, pauseDuration, at.Format("15:04:05.000"), n))
 		}
 		if n := h.afterLeaving(x); n > 0 {
-			broken = append(broken, fmt.Sprintf("upstream %s said that it leaves and got %d requests of VMs that it had told", name, n))
+			broken = append(broken, fmt.Sprintf("upstream %s announced that it is leaving and received %d requests from VMs that knew it", name, n))
 		}
 	}
 	slices.Sort(broken)
--- a/tools/soak/probe.go
+++ b/tools/soak/probe.go
@@ -105,7 +105,7 @@
 			broken = append(broken, fmt.Sprintf("version %d still in force %v after the next was accepted: %s", p.version, p.sent.Sub(next.accepted).Round(time.Millisecond), p.vm))
 		}
 		if !p.intact {
-			broken = append(broken, "an answer was not whole or not the request's own: "+p.vm)
+			broken = append(broken, "the response was incomplete or another request's: "+p.vm)
 		}
 		if p.status != http.StatusOK {
 			continue
@@ -150,16 +150,16 @@
 	for from := repeats[0].Add(-retryWindow); from.Before(last); from = from.Add(retryStep) {
 		base := max(count(requests, from), count(requests, from.Add(-retryWindow/2)), count(requests, from.Add(-retryWindow)))
 		if n := count(repeats, from); float64(n) > retryRatio*float64(base)+retryExtra {
-			return []string{fmt.Sprintf("%d requests were sent again in ten seconds of %d", n, base)}
+			return []string{fmt.Sprintf("%d arrivals in ten seconds were repeats, with %d requests", n, base)}
 		}
 	}
 	return nil
 }
 
-// promises lists the counts of what was checked.
-func (r *result) promises() string {
+// checkCounts lists the counts of what was checked.
+func (r *result) checkCounts() string {
 	return strings.Join([]string{
 		fmt.Sprintf("%d rules probed", r.probed), fmt.Sprintf("%d versions", r.versions), fmt.Sprintf("%d sent again", r.sentAgain),
-		fmt.Sprintf("%d upstreams ended under a request", r.poisoned),
+		fmt.Sprintf("%d poison requests run", r.poisoned),
 	}, ", ")
 }
--- a/tools/soak/probe_test.go
+++ b/tools/soak/probe_test.go
@@ -14,8 +14,8 @@
 
 func TestJudgeRules(t *testing.T) {
 	versions := []version{{1, at(0), at(0)}, {2, at(10), at(10)}}
-	ask := func(number, status int, sent float64, life int32) probe {
-		return probe{vm: "vm-1", incarnation: life, version: number, status: status, intact: true, sent: at(sent), answered: at(sent + 0.01)}
+	ask := func(number, status int, sent float64, incarnation int32) probe {
+		return probe{vm: "vm-1", incarnation: incarnation, version: number, status: status, intact: true, sent: at(sent), answered: at(sent + 0.01)}
 	}
 	for _, tc := range []struct {
 		name   string
@@ -24,12 +24,12 @@
 	}{
 		{"in force", []probe{ask(1, 200, 8, 1), ask(2, 200, 11, 1), ask(1, 404, 12, 1)}, ""},
 		{"not yet, in time", []probe{ask(2, 404, 16, 1), ask(1, 200, 16, 1)}, ""},
-		{"late", []probe{ask(2, 404, 18, 1)}, "not in force"},
-		{"kept on", []probe{ask(1, 200, 18, 1)}, "still in force"},
-		{"went back", []probe{ask(2, 200, 11, 1), ask(1, 200, 12, 1)}, "went back"},
-		{"overtaken on the way", []probe{ask(2, 200, 11, 1), ask(1, 200, 11.1, 1)}, ""},
+		{"not in force in time", []probe{ask(2, 404, 18, 1)}, "not in force"},
+		{"replaced version still in force", []probe{ask(1, 200, 18, 1)}, "still in force"},
+		{"older version after a newer one", []probe{ask(2, 200, 11, 1), ask(1, 200, 12, 1)}, "went back"},
+		{"older response within the slack", []probe{ask(2, 200, 11, 1), ask(1, 200, 11.1, 1)}, ""},
 		{"another process", []probe{ask(2, 200, 11, 1), ask(1, 200, 12, 2)}, ""},
-		{"spoilt", []probe{{vm: "vm-1", version: 1, status: 200, sent: at(1), answered: at(1)}}, "not whole"},
+		{"incomplete response", []probe{{vm: "vm-1", version: 1, status: 200, sent: at(1), answered: at(1)}}, "the response was incomplete or another request's: vm-1"},
 	} {
 		got := strings.Join(judgeRules(tc.probes, versions), "; ")
 		if (tc.want == "") != (got == "") || !strings.Contains(got, tc.want) {
--- a/tools/soak/proxy.go
+++ b/tools/soak/proxy.go
@@ -53,7 +53,7 @@
 
 // run accepts and forwards connections. When the target refuses a connection, the proxy
 // resets the accepted one and, unless acceptAlways is set, refuses new ones until the
-// target listens again.
+// target listens again, so that a VM sees the same refusals as without a proxy.
 func (p *proxy) run() {
 	for {
 		c, err := p.l.Accept()
