--- a/cmd/auburnlatch-entry/main.go
+++ b/cmd/auburnlatch-entry/main.go
@@ -51,10 +51,10 @@
 // Run runs the daemon, or only checks its settings.
 func (f *flags) Run() error {
 	if f.Settings == "" {
-		f.Settings = os.Getenv(platform.SettingsFile)
+		f.Settings = os.Getenv(platform.SettingsFileEnv)
 	}
 	if f.Settings == "" {
-		return errors.Newf("no settings file given: pass --settings FILE or set %s", platform.SettingsFile)
+		return errors.Newf("no settings file given: pass --settings FILE or set %s", platform.SettingsFileEnv)
 	}
 	data, err := os.ReadFile(f.Settings)
 	if err != nil {
--- a/tools/soak/chaos.go
+++ b/tools/soak/chaos.go
@@ -68,7 +68,7 @@
 			return err
 		}
 		<-time.After(d)
-		return f.operator().Return(zone)
+		return f.operator().EndEvacuation(zone)
 	}},
 }
 
--- a/tools/soak/main.go
+++ b/tools/soak/main.go
@@ -102,7 +102,7 @@
 			ID: fmt.Sprint(c.ID, "-", life), Service: c.Service, Zone: c.Zone, Addr: c.Addr, Listen: c.Listen, Store: c.Store,
 			CutShare: c.CutShare, FailShare: c.FailShare, Report: os.Stdout,
 		}).Run(ctx)
-		if !errors.Is(err, standin.ErrEnded) {
+		if !errors.Is(err, standin.ErrCrashed) {
 			return err
 		}
 		<-time.After(restartDelay)
--- a/tools/soak/notices.go
+++ b/tools/soak/notices.go
@@ -94,7 +94,7 @@
 func (u *upstreamProc) setNotice(ctx context.Context, what, value string) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s%s?%s=%s", u.listen, standin.SayPath, what, value), http.NoBody)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s%s?%s=%s", u.listen, standin.NoticePath, what, value), http.NoBody)
 	if err != nil {
 		return
 	}
