--- a/tools/soak/fleet.go
+++ b/tools/soak/fleet.go
@@ -211,7 +211,7 @@
 	err := f.operator().Configure(v.number)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.versions[v.number-1].accepted = time.Now()
+	f.versions[v.number-1].finished = time.Now()
 	return err
 }
 
--- a/tools/soak/ledger.go
+++ b/tools/soak/ledger.go
@@ -33,11 +33,11 @@
 	repeats []time.Time
 	// unexpected is the other output of upstreams, such as the error of an unexpected exit.
 	unexpected []string
-	upstreams  map[string]*exchange // By incarnation.
+	upstreams  map[string]*incarnationLog // By incarnation.
 }
 
 func newLedger() *ledger {
-	return &ledger{entries: make(map[string]*entry), upstreams: make(map[string]*exchange)}
+	return &ledger{entries: make(map[string]*entry), upstreams: make(map[string]*incarnationLog)}
 }
 
 func (l *ledger) entry(id string) *entry {
@@ -132,16 +132,16 @@
 	seed              uint64
 	requests, served  int
 	refused, failed   int
-	repeated          int
+	reruns            int
 	faults            []string
 	broken            []string
 	lastAsked, lastOK int
 
-	probed, versions, sentAgain int
-	poisoned                    int // Runs of poison requests.
-	began                       time.Time
-	injected                    []injectedFault
-	seconds                     []second
+	probed, versions, repeats int
+	poisoned                  int // Runs of poison requests.
+	began                     time.Time
+	injected                  []injectedFault
+	seconds                   []second
 }
 
 // recoveryShare is the smallest fraction of requests that must be served after all faults
@@ -173,7 +173,7 @@
 		default:
 			r.failed++
 		}
-		r.repeated += max(0, e.ran-1)
+		r.reruns += max(0, e.ran-1)
 		if e.status == 200 && !e.intact {
 			broke("the response was incomplete or another request's", id)
 		}
@@ -203,7 +203,7 @@
 	if float64(r.lastOK) < recoveryShare*float64(r.lastAsked) || r.lastAsked == 0 {
 		r.broken = append(r.broken, fmt.Sprintf("%d of %d requests served after all faults were over", r.lastOK, r.lastAsked))
 	}
-	r.sentAgain, r.seconds = len(l.repeats), l.bySeconds(r.began)
+	r.repeats, r.seconds = len(l.repeats), l.bySeconds(r.began)
 	r.broken = append(r.broken, judgeRetries(requests, l.repeats)...)
 	for _, line := range l.unexpected {
 		r.broken = append(r.broken, "an upstream wrote: "+line)
@@ -243,7 +243,7 @@
 		verdict = "BROKEN"
 	}
 	fmt.Fprintf(w, "seed %d: %s; %d requests, %d served, %d refused, %d failed, %d runs repeated, %d of %d served at the end; %s; faults: %s\n",
-		r.seed, verdict, r.requests, r.served, r.refused, r.failed, r.repeated, r.lastOK, r.lastAsked, r.checkCounts(), summary(r.faults))
+		r.seed, verdict, r.requests, r.served, r.refused, r.failed, r.reruns, r.lastOK, r.lastAsked, r.checkCounts(), summary(r.faults))
 	for _, line := range r.broken[:min(len(r.broken), 10)] {
 		fmt.Fprintf(w, "  %s\n", line)
 	}
--- a/tools/soak/notices.go
+++ b/tools/soak/notices.go
@@ -146,20 +146,20 @@
 	e  *entry
 }
 
-// exchange records the requests to one incarnation of an upstream and its announcements.
-type exchange struct {
+// incarnationLog records the requests to one incarnation of an upstream and its announcements.
+type incarnationLog struct {
 	arrivals []arrival
-	said     map[string][]notice // By the VM's process.
+	notices  map[string][]notice // By the VM's process.
 }
 
-// upstreamLog returns the record of an incarnation.
-func (l *ledger) upstreamLog(name string) *exchange {
-	h := l.upstreams[name]
-	if h == nil {
-		h = &exchange{said: make(map[string][]notice)}
-		l.upstreams[name] = h
+// incarnation returns the log of an incarnation of an upstream.
+func (l *ledger) incarnation(name string) *incarnationLog {
+	g := l.upstreams[name]
+	if g == nil {
+		g = &incarnationLog{notices: make(map[string][]notice)}
+		l.upstreams[name] = g
 	}
-	return h
+	return g
 }
 
 // recordArrival records the arrival of a request from the rest of a Got line: the upstream's
@@ -172,8 +172,8 @@
 		l.unexpected = append(l.unexpected, line)
 		return
 	}
-	h := l.upstreamLog(upstream)
-	h.arrivals = append(h.arrivals, arrival{time.Unix(0, nanos), l.entry(id)})
+	g := l.incarnation(upstream)
+	g.arrivals = append(g.arrivals, arrival{time.Unix(0, nanos), l.entry(id)})
 }
 
 // recordNotice records an announcement from the rest of a Said line: the request's ID, the
@@ -187,23 +187,23 @@
 		return
 	}
 	s.at = time.Unix(0, nanos)
-	h, vm := l.upstreamLog(upstream), l.entry(id).process
-	h.said[vm] = append(h.said[vm], s)
+	g, vm := l.incarnation(upstream), l.entry(id).process
+	g.notices[vm] = append(g.notices[vm], s)
 }
 
 // judgeNotices checks what upstreams received after their announcements.
 func (l *ledger) judgeNotices(x *exemptions) (broken []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for name, h := range l.upstreams {
-		if n := h.overLimit(x, upstreamOf(name)); n > 0 {
+	for name, g := range l.upstreams {
+		if n := g.overLimit(x, upstreamOf(name)); n > 0 {
 			broken = append(broken, fmt.Sprintf("upstream %s announced a limit of %d requests per second and received %d in %v", name, announcedLimit, n, limitWindow))
 		}
-		if n, vm, at := h.inPause(x, upstreamOf(name)); n > 0 {
+		if n, vm, at := g.inPause(x, upstreamOf(name)); n > 0 {
 			broken = append(broken, fmt.Sprintf("upstream %s asked %s for a pause of %v at %s and received %d requests from it",
 				name, vm, pauseDuration, at.Format("15:04:05.000"), n))
 		}
-		if n := h.afterLeaving(x); n > 0 {
+		if n := g.afterLeaving(x); n > 0 {
 			broken = append(broken, fmt.Sprintf("upstream %s announced that it is leaving and received %d requests from VMs that knew it", name, n))
 		}
 	}
@@ -224,9 +224,9 @@
 // otherwise 0. It counts requests that arrived while the upstream announced the limit, from
 // VMs that had received it. Windows that end earlier than limitWindow after the first
 // announcement do not count.
-func (h *exchange) overLimit(x *exemptions, upstream string) int {
+func (g *incarnationLog) overLimit(x *exemptions, upstream string) int {
 	var first, last time.Time
-	for _, list := range h.said {
+	for _, list := range g.notices {
 		for _, s := range list {
 			if s.what == "limit" && (first.IsZero() || s.at.Before(first)) {
 				first = s.at
@@ -237,8 +237,8 @@
 		}
 	}
 	var bound []time.Time
-	for _, a := range h.arrivals {
-		if h.knowsLimit(a) && !a.at.After(last) && !x.at(upstream, a.at) && !x.at(a.e.vm, a.at) {
+	for _, a := range g.arrivals {
+		if g.knowsLimit(a) && !a.at.After(last) && !x.at(upstream, a.at) && !x.at(a.e.vm, a.at) {
 			bound = append(bound, a.at)
 		}
 	}
@@ -260,9 +260,9 @@
 
 // afterLeaving returns how many requests arrived that callers sent later than leaveWithin
 // after the VM had received the announcement that the upstream is leaving.
-func (h *exchange) afterLeaving(x *exemptions) (n int) {
-	for _, a := range h.arrivals {
-		late := slices.ContainsFunc(h.said[a.e.process], func(s notice) bool {
+func (g *incarnationLog) afterLeaving(x *exemptions) (n int) {
+	for _, a := range g.arrivals {
+		late := slices.ContainsFunc(g.notices[a.e.process], func(s notice) bool {
 			return s.what == "leaving" && a.e.at.Sub(s.at) > leaveWithin
 		})
 		if late && !x.at(a.e.vm, a.at) {
@@ -274,15 +274,15 @@
 
 // inPause returns the largest number of requests that a VM's process sent in a pause, the
 // process, and the time of the announcement. The number is 0 if none exceeds maxInPause.
-func (h *exchange) inPause(x *exemptions, upstream string) (most int, vm string, at time.Time) {
-	for process, list := range h.said {
+func (g *incarnationLog) inPause(x *exemptions, upstream string) (most int, vm string, at time.Time) {
+	for process, list := range g.notices {
 		for _, s := range list {
 			if s.what != "pause" {
 				continue
 			}
 			from, to := s.at.Add(noticeDelay), s.at.Add(time.Duration(s.value*float64(time.Second)))
 			n := 0
-			for _, a := range h.arrivals {
+			for _, a := range g.arrivals {
 				if a.e.process == process && a.at.After(from) && a.at.Before(to) && !x.at(a.e.vm, a.at) && !x.at(upstream, a.at) {
 					n++
 				}
@@ -297,8 +297,8 @@
 
 // knowsLimit reports whether the VM that sent a request had received a limit at least
 // noticeDelay before.
-func (h *exchange) knowsLimit(a arrival) bool {
-	return slices.ContainsFunc(h.said[a.e.process], func(s notice) bool {
+func (g *incarnationLog) knowsLimit(a arrival) bool {
+	return slices.ContainsFunc(g.notices[a.e.process], func(s notice) bool {
 		return s.what == "limit" && a.at.Sub(s.at) >= noticeDelay
 	})
 }
--- a/tools/soak/probe.go
+++ b/tools/soak/probe.go
@@ -29,7 +29,7 @@
 // version is one version of the rules as the operator wrote it.
 type version struct {
 	number            int
-	started, accepted time.Time // Before the write, and after it was acknowledged or failed.
+	started, finished time.Time // Before and after the write, which may have failed.
 }
 
 // probe is the result of asking a VM whether a version of the rules is in force.
@@ -99,10 +99,10 @@
 		who := fmt.Sprint(p.vm, "/", p.incarnation)
 		next, replaced := at[p.version+1]
 		switch {
-		case p.status == http.StatusNotFound && p.sent.Sub(at[p.version].accepted) > maxRulesDelay && !(replaced && next.started.Before(p.answered)):
-			broken = append(broken, fmt.Sprintf("version %d not in force %v after it was accepted: %s", p.version, p.sent.Sub(at[p.version].accepted).Round(time.Millisecond), p.vm))
-		case p.status == http.StatusOK && replaced && p.sent.Sub(next.accepted) > maxRulesDelay:
-			broken = append(broken, fmt.Sprintf("version %d still in force %v after the next was accepted: %s", p.version, p.sent.Sub(next.accepted).Round(time.Millisecond), p.vm))
+		case p.status == http.StatusNotFound && p.sent.Sub(at[p.version].finished) > maxRulesDelay && !(replaced && next.started.Before(p.answered)):
+			broken = append(broken, fmt.Sprintf("version %d not in force %v after it was accepted: %s", p.version, p.sent.Sub(at[p.version].finished).Round(time.Millisecond), p.vm))
+		case p.status == http.StatusOK && replaced && p.sent.Sub(next.finished) > maxRulesDelay:
+			broken = append(broken, fmt.Sprintf("version %d still in force %v after the next was accepted: %s", p.version, p.sent.Sub(next.finished).Round(time.Millisecond), p.vm))
 		}
 		if !p.intact {
 			broken = append(broken, "the response was incomplete or another request's: "+p.vm)
@@ -159,7 +159,7 @@
 // checkCounts lists the counts of what was checked.
 func (r *result) checkCounts() string {
 	return strings.Join([]string{
-		fmt.Sprintf("%d rules probed", r.probed), fmt.Sprintf("%d versions", r.versions), fmt.Sprintf("%d sent again", r.sentAgain),
+		fmt.Sprintf("%d rules probed", r.probed), fmt.Sprintf("%d versions", r.versions), fmt.Sprintf("%d sent again", r.repeats),
 		fmt.Sprintf("%d poison requests run", r.poisoned),
 	}, ", ")
 }
