--- a/core/member/member.go
+++ b/core/member/member.go
@@ -135,8 +135,8 @@
 	// Acks are the highest Seqs received of peers that are Pending, by name.
 	Acks map[string]uint64
 	// Gone are the incarnations of the VMs that the platform has removed
-	// according to the list that this VM read, by name. Peers may not have read
-	// the list in time to see the removal themselves.
+	// according to the list, as read by this VM or a peer, by name. Other peers
+	// may not have read the list in time to see the removal themselves.
 	Gone map[string]uint64
 	// Health is what this VM has itself detected about upstreams that are not
 	// up: target to state name.
--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -41,7 +41,7 @@
 	// RemovedAt is when this VM received the removal.
 	RemovedAt time.Time
 	// AfterGap says that the replica had been unconfirmed for longer than LapseGap
-	// before the removal: the row may have lapsed only because its owner could
+	// before the removal: the row may have lapsed only because its writer could
 	// not reach the platform either. A VM that receives a removal from a peer takes
 	// over the peer's AfterGap. Its own replica may have been behind for local
 	// reasons, such as a congested link, and it would otherwise keep using an
--- a/core/throttle/throttle.go
+++ b/core/throttle/throttle.go
@@ -41,7 +41,7 @@
 )
 
 const (
-	// burstFraction is the fraction of that excess and slack that the senders use.
+	// burstFraction is the fraction of excess and slack that the senders use.
 	burstFraction = 0.5
 	// rateFraction is the fraction of the rate that the senders use.
 	rateFraction = 0.9
