--- a/core/callers/meter.go
+++ b/core/callers/meter.go
@@ -11,7 +11,8 @@
 	// averageWindow is the time constant of the moving average of traffic.
 	averageWindow = 2 * time.Second
 	// riseFactor and fallFactor are the ratios of the average to the published
-	// traffic beyond which the average is published: each change is sent to all VMs.
+	// traffic beyond which the average is published anew. Smaller changes are not, as
+	// each one is sent to all VMs.
 	riseFactor, fallFactor = 1.3, 0.6
 	// minPublished is the traffic in requests per second below which a VM publishes
 	// none: a few test requests do not make it a VM that callers use.
@@ -60,7 +61,8 @@
 	return m.published
 }
 
-// changed reports whether an average is so far from the published value that it is to be published.
+// changed reports whether an average is so far from the published value that it has to be
+// published.
 func changed(published, average float64) bool {
 	return average > riseFactor*published || average < fallFactor*published
 }
--- a/core/dispatch/pool_test.go
+++ b/core/dispatch/pool_test.go
@@ -75,7 +75,7 @@
 
 // A VM is paused, its peers take over its slots, and it resumes while it grants
 // a slot, before its next heartbeat. Two VMs would use the same slots.
-func TestPausedVMHandsOutNothingUntilItsNextTick(t *testing.T) {
+func TestPausedVMGrantsNothingUntilNextTick(t *testing.T) {
 	p := newPool(four)
 	if _, ok := p.Offer(at(1+FenceAfter.Seconds()+0.1), "istoric"); ok {
 		t.Errorf("a VM that was paused granted a slot before its next tick")
--- a/core/dispatch/queue.go
+++ b/core/dispatch/queue.go
@@ -27,7 +27,7 @@
 	// Granted receives the target once. It is closed if this VM no longer
 	// dispatches the service.
 	Granted chan *inventory.Target
-	// Until is when the wait ends. The owner of the ticket must watch it.
+	// Until is when the wait ends. The caller of Queue must watch it.
 	Until time.Time
 
 	service string
@@ -73,8 +73,8 @@
 	return took * time.Duration(len(s.queue)+1) / time.Duration(slots), true
 }
 
-// Cancel removes a ticket whose owner has stopped waiting. A slot that it was
-// granted in the meantime is returned.
+// Cancel removes a ticket for which the caller of Queue no longer waits. A slot
+// that it was granted in the meantime is returned.
 func (p *Pool) Cancel(now time.Time, t *Ticket) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,7 +115,7 @@
 }
 
 // grantQueued grants free slots to queued requests in the order of arrival. It
-// drops expired tickets, whose owners have stopped waiting by themselves.
+// drops expired tickets, for which nobody waits any more.
 func (p *Pool) grantQueued(now time.Time, s *service) {
 	for len(s.queue) > 0 {
 		t := s.queue[0]
--- a/core/dispatch/share.go
+++ b/core/dispatch/share.go
@@ -18,11 +18,11 @@
 // Rank returns the VMs ordered by rendezvous hashing for a subject: adding or
 // removing a VM does not change the order of the others.
 func Rank(subject string, vms []string) []string {
-	list := make([]scored, len(vms))
+	list := make([]hashedVM, len(vms))
 	for i, vm := range vms {
-		list[i] = scored{vm, hash(subject, vm)}
+		list[i] = hashedVM{vm, hash(subject, vm)}
 	}
-	slices.SortFunc(list, scored.compare)
+	slices.SortFunc(list, hashedVM.compare)
 	ranked := make([]string, len(list))
 	for i, s := range list {
 		ranked[i] = s.vm
@@ -34,9 +34,9 @@
 // A VM calls it about twenty times a second, and sorting 300 VMs takes ten
 // times as long.
 func First(subject string, vms []string, n int) []string {
-	first := make([]scored, 0, n+1)
+	first := make([]hashedVM, 0, n+1)
 	for _, vm := range vms {
-		s := scored{vm, hash(subject, vm)}
+		s := hashedVM{vm, hash(subject, vm)}
 		i := len(first)
 		for i > 0 && s.compare(first[i-1]) < 0 {
 			i--
@@ -55,28 +55,28 @@
 
 // Before returns how many VMs come before vm in the order of Rank.
 func Before(subject string, vms []string, vm string) int {
-	own, n := scored{vm, hash(subject, vm)}, 0
+	own, n := hashedVM{vm, hash(subject, vm)}, 0
 	for _, other := range vms {
-		if (scored{other, hash(subject, other)}).compare(own) < 0 {
+		if (hashedVM{other, hash(subject, other)}).compare(own) < 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// scored is a VM with its score for a subject.
-type scored struct {
-	vm    string
-	score uint64
+// hashedVM is a VM with its rendezvous hash for a subject.
+type hashedVM struct {
+	vm   string
+	hash uint64
 }
 
-// compare orders VMs by score, highest first, and by name where scores are
-// equal, which is rare.
-func (s scored) compare(other scored) int {
-	if s.score != other.score {
-		return cmp.Compare(other.score, s.score)
+// compare orders VMs by hash, highest first, and by name where hashes are equal,
+// which is rare.
+func (v hashedVM) compare(other hashedVM) int {
+	if v.hash != other.hash {
+		return cmp.Compare(other.hash, v.hash)
 	}
-	return cmp.Compare(s.vm, other.vm)
+	return cmp.Compare(v.vm, other.vm)
 }
 
 // Dispatchers returns which of a zone's live VMs dispatch a service. slots is
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -21,7 +21,7 @@
 //	asked := clock.SinceBoot()             // Before the query is sent.
 //	... the reply: the newest version, verified as of age before the reply ...
 //	l.Renew(lease.AsOf(asked, age))
-//	if l.Age(clock.SinceBoot()) > bound { ... } // Keys are not judged.
+//	if l.Age(clock.SinceBoot()) > bound { ... } // No key is admitted or refused.
 package lease
 
 import (
--- a/core/model/doc.go
+++ b/core/model/doc.go
@@ -13,6 +13,7 @@
 // # Usage
 //
 //	shape := model.Shape{Regions: 1, VMs: 10, Targets: 16, Slots: 4, ...}
-//	r := model.Simulate(shape, model.NewBalancerPolicy(shape), seed, []model.Phase{{Length: 30 * time.Second, PerSecond: 517}})
+//	phases := []model.Phase{{Length: 30 * time.Second, PerSecond: 517}}
+//	r := model.Simulate(shape, model.NewBalancerPolicy(shape), seed, phases)
 //	share := r.InTime(15, 30)
 package model
--- a/core/model/play.go
+++ b/core/model/play.go
@@ -19,8 +19,8 @@
 
 // Second counts the requests that were made in one second by their outcome.
 type Second struct {
-	// Asked is their number. InTime of them were answered within the objective, Late
-	// within the deadline.
+	// Asked is the number of requests. InTime of them were answered within the objective,
+	// Late of them later but within the deadline.
 	Asked, InTime, Late, Refused int
 	// Hits is the number that ran on a target that had their object cached.
 	Hits int
--- a/core/model/policy.go
+++ b/core/model/policy.go
@@ -56,33 +56,33 @@
 
 // NewBalancerPolicy returns a policy whose Balancers have the targets and no other state.
 func NewBalancerPolicy(shape Shape) *BalancerPolicy {
-	o := &BalancerPolicy{shape: shape, updates: make([][]placementUpdate, shape.Regions), applied: make([]int, shape.VMs)}
+	p := &BalancerPolicy{shape: shape, updates: make([][]placementUpdate, shape.Regions), applied: make([]int, shape.VMs)}
 	for i := range shape.VMs {
 		b := balance.New(fmt.Sprint("vm", i), shape.region(i), shape.region(i))
 		b.SetSynced()
-		o.vms = append(o.vms, b)
+		p.vms = append(p.vms, b)
 	}
-	o.Targets(0)
-	return o
+	p.Targets(0)
+	return p
 }
 
 // Targets implements Policy.
-func (o *BalancerPolicy) Targets(down float64) {
-	for _, b := range o.vms {
-		b.SetTargets(o.shape.targetList(down))
+func (p *BalancerPolicy) Targets(down float64) {
+	for _, b := range p.vms {
+		b.SetTargets(p.shape.targetList(down))
 	}
 }
 
 // Choose implements Policy.
-func (o *BalancerPolicy) Choose(now time.Time, vm int, key string, _ State) (int, balance.Lease) {
-	o.applyUpdates(now, vm)
-	l, err := o.vms[vm].Choose(now, balance.Request{Service: service, Key: key, Urgent: true, Objective: o.shape.Objective, Within: o.shape.Objective})
+func (p *BalancerPolicy) Choose(now time.Time, vm int, key string, _ State) (int, balance.Lease) {
+	p.applyUpdates(now, vm)
+	l, err := p.vms[vm].Choose(now, balance.Request{Service: service, Key: key, Urgent: true, Objective: p.shape.Objective, Within: p.shape.Objective})
 	if err != nil {
 		return -1, l
 	}
-	if news := o.vms[vm].News(); len(news) > 0 {
-		region := vm % o.shape.Regions
-		o.updates[region] = append(o.updates[region], placementUpdate{now.Add(propagationDelay), news})
+	if news := p.vms[vm].News(); len(news) > 0 {
+		region := vm % p.shape.Regions
+		p.updates[region] = append(p.updates[region], placementUpdate{now.Add(propagationDelay), news})
 	}
 	i, err := strconv.Atoi(l.Target.ID)
 	if err != nil {
@@ -92,16 +92,16 @@
 }
 
 // applyUpdates merges into a VM's Balancer the placements that have reached the VM.
-func (o *BalancerPolicy) applyUpdates(now time.Time, vm int) {
-	for list := o.updates[vm%o.shape.Regions]; o.applied[vm] < len(list) && !now.Before(list[o.applied[vm]].at); o.applied[vm]++ {
-		o.vms[vm].MergePlacements(now, list[o.applied[vm]].list)
+func (p *BalancerPolicy) applyUpdates(now time.Time, vm int) {
+	for list := p.updates[vm%p.shape.Regions]; p.applied[vm] < len(list) && !now.Before(list[p.applied[vm]].at); p.applied[vm]++ {
+		p.vms[vm].MergePlacements(now, list[p.applied[vm]].list)
 	}
 }
 
 // Done implements Policy.
-func (o *BalancerPolicy) Done(now time.Time, vm int, l balance.Lease, busy int) {
-	slots := o.shape.Slots
-	o.vms[vm].Done(now, l, balance.Outcome{
+func (p *BalancerPolicy) Done(now time.Time, vm int, l balance.Lease, busy int) {
+	slots := p.shape.Slots
+	p.vms[vm].Done(now, l, balance.Outcome{
 		Answered: true, Load: &balance.Load{Running: min(busy, slots), Waiting: max(0, busy-slots), Slots: slots},
 	})
 }
--- a/core/model/shape.go
+++ b/core/model/shape.go
@@ -10,7 +10,8 @@
 // Shape is a service with its VMs and callers.
 type Shape struct {
 	Name string
-	// Regions is their number. VMs, targets and objects are assigned to them round robin.
+	// Regions is the number of regions. VMs, targets and objects are assigned to them
+	// round robin.
 	Regions int
 	VMs     int
 	Targets int
--- a/core/route/doc.go
+++ b/core/route/doc.go
@@ -54,8 +54,7 @@
 	// Timeout is the longest time that a caller may wait for the response; 0:
 	// only the caller's own deadline applies.
 	Timeout time.Duration
-	// Objective is the response time up to which a response has its full value
-	// for a caller.
+	// Objective is the response time objective: responses that take longer are late.
 	Objective time.Duration
 	// Attempts is the maximum number of upstreams to which one request is sent.
 	Attempts int
--- a/core/team/team_test.go
+++ b/core/team/team_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestFingerprintTellsNoKey(t *testing.T) {
+func TestFingerprintDoesNotContainKey(t *testing.T) {
 	if f := team.Fingerprint("key"); len(f) != 8 || f == team.Fingerprint("kez") || strings.Contains(f, "key") {
 		t.Errorf("fingerprint %q", f)
 	}
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -15,7 +15,7 @@
 // # Usage
 //
 //	first := watch.First(vms, 2)        // The names of the readers.
-//	turn := watch.Before(vms, "vm-a")   // How many VMs rank before this one.
+//	rank := watch.Before(vms, "vm-a")   // How many VMs rank before this one.
 package watch
 
 import (
--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -25,7 +25,7 @@
 // Guards against readers far from the platform while VMs are near it: rendezvous hashing alone
 // chose two readers in other regions, and the heartbeats of 3,000 upstreams crossed regions
 // with a round trip of a third of a second.
-func TestVMsBesideThePlatformReadFirst(t *testing.T) {
+func TestVMsNearPlatformReadFirst(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		near, far time.Duration
@@ -59,7 +59,7 @@
 
 // If the platform rejects the two readers, the VMs that rank next take over one after the
 // other. Each VM must have a rank of its own.
-func TestEachHasItsTurn(t *testing.T) {
+func TestVMsHaveDistinctRanks(t *testing.T) {
 	vms := fleet(40, time.Millisecond, 100*time.Millisecond)
 	byRank := make(map[int]string)
 	for _, vm := range vms {
