--- a/core/member/join.go
+++ b/core/member/join.go
@@ -35,7 +35,7 @@
 	return ok
 }
 
-// JoinHold is how long a VM that starts or wakes waits before it takes slots, while it receives
+// JoinHold is how long a VM that starts or resumes waits before it takes slots, while it receives
 // the state of its peers.
 type JoinHold struct {
 	// Listed applies to a VM that is on the platform's list: the list then also
@@ -47,9 +47,9 @@
 }
 
 // Synced reports whether the VM is in sync with its zone and may take slots: since
-// it started or woke from a pause it has waited for the hold, and has received
+// it started or resumed after a pause it has waited for the hold, and has received
 // heartbeats from every peer that may hold slots, including those that only the
-// platform's list or a roster names. Without this, a VM that wakes after its slots
+// platform's list or a roster names. Without this, a VM that resumes after its slots
 // were given to others would use them too, and two that start together would each
 // take all.
 func (t *Table) Synced(now time.Time, hold JoinHold) bool {
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -32,7 +32,7 @@
 	seq           uint64
 	beat          uint64
 	lastTick      time.Time
-	resumedAt     time.Time // When the VM last started or woke from a pause.
+	resumedAt     time.Time // When the VM last started or resumed after a pause.
 	// everListed has the VMs that were ever on the platform's list, platformList those of
 	// the last one.
 	everListed   map[string]bool
@@ -79,7 +79,7 @@
 
 // Tick is called on every heartbeat, before the state of any VM is asked for. If
 // this VM itself was paused, Tick moves the last-seen times forward by the pause:
-// without this, a VM that wakes would take all its peers for silent at once.
+// without this, a VM that resumes would take all its peers for silent at once.
 func (t *Table) Tick(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/member/table_test.go
+++ b/core/member/table_test.go
@@ -204,7 +204,7 @@
 	tab.SetPlatformList(at(l.second), list)
 }
 
-// A VM is paused for a minute and wakes. By its clock every peer has been silent for
+// A VM is paused for a minute and resumes. By its clock every peer has been silent for
 // a minute, although none was. It must not take itself for the only live VM.
 func TestPeersStayLiveAfterOwnPause(t *testing.T) {
 	tab := NewTable("a", "z1", 1, start)
--- a/core/poison/answer_test.go
+++ b/core/poison/answer_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// Guards against other VMs that clear a suspect of crashes after the response that they learn
-// of.
+// Guards against VMs that learn of a response and clear the suspect of crashes that came after
+// it.
 func TestPropagatedAnswersClearOfEarlierCrashesOnly(t *testing.T) {
 	a, b := poison.NewLedger(), poison.NewLedger()
 	crash(a, 1000, "i-1", "a")
