--- a/core/poison/bench_test.go
+++ b/core/poison/bench_test.go
@@ -7,8 +7,8 @@
 	"auburnlatch/core/poison"
 )
 
-// BenchmarkUnsuspectedRequest measures the check of a request that is not suspected, with 1,000 bans and
-// 1,000 suspects.
+// BenchmarkUnsuspectedRequest measures the check of a request that is not suspected, with 1,000
+// bans and 1,000 suspects.
 func BenchmarkUnsuspectedRequest(b *testing.B) {
 	l := poison.NewLedger()
 	var bans []poison.Ban
