--- a/io/entry/copies.go
+++ b/io/entry/copies.go
@@ -33,10 +33,10 @@
 	// not change. If the connection hangs, the call fails longPollSlack later.
 	longPollWait  = time.Second
 	longPollSlack = 500 * time.Millisecond
-	// longPollFraction bounds that time as a fraction of RevokeWithin, where keys can be
+	// longPollFraction bounds the wait as a fraction of RevokeWithin, where keys can be
 	// revoked. verifyFraction is the age of the rules, also as a fraction of RevokeWithin,
-	// at which a VM that is no reader asks the platform. It does so takeoverDelay later
-	// for each VM that ranks before it, up to maxTakeoverRank.
+	// at which a VM that is no reader asks the platform itself. It does so takeoverDelay
+	// later for each VM that ranks before it, up to maxTakeoverRank.
 	longPollFraction = 0.1
 	verifyFraction   = 0.4
 	takeoverDelay    = 80 * time.Millisecond
@@ -76,7 +76,7 @@
 	lost bool
 }
 
-func (s *platformStatus) note(table string, err error) {
+func (s *platformStatus) logChange(table string, err error) {
 	switch {
 	case err != nil && !s.lost:
 		s.log.WithFields(logrus.Fields{"Table": table, "Err": err}).Warn("PlatformLost")
@@ -92,32 +92,33 @@
 	v.awaitSeedCopies(ctx)
 	for ctx.Err() == nil {
 		now := time.Now()
-		others := len(v.cachedReaderAddrs(now)) > 0
-		if !v.rulesDue(now, others) {
+		othersRead := len(v.cachedReaderAddrs(now)) > 0
+		if !v.rulesDue(now, othersRead) {
 			if !lifecycle.Sleep(ctx, pollTick) {
 				return
 			}
 			continue
 		}
-		err := v.refresh(ctx, TableRules, v.rulesWait(others))
+		err := v.refresh(ctx, TableRules, v.rulesWait(othersRead))
 		if ctx.Err() != nil {
 			return
 		}
-		status.note(TableRules, err)
-		if pause := wait.after(err, !others); pause > 0 && !lifecycle.Sleep(ctx, pause) {
+		status.logChange(TableRules, err)
+		if pause := wait.after(err, !othersRead); pause > 0 && !lifecycle.Sleep(ctx, pause) {
 			return
 		}
 	}
 }
 
 // rulesDue reports whether this VM has to read the rules from the platform itself.
-func (v *VM) rulesDue(now time.Time, others bool) bool {
+// othersRead says that other VMs are the readers.
+func (v *VM) rulesDue(now time.Time, othersRead bool) bool {
 	switch {
 	case v.replicas[TableRules].Head(now).Age >= longPollWait+v.staleAge():
 		return true
 	case v.settling(now):
 		return false
-	case !others:
+	case !othersRead:
 		return true
 	}
 	return v.strict(v.table.Load()) && v.takeoverDue(now, v.rulesAge(clock.SinceBoot()))
@@ -125,11 +126,11 @@
 
 // rulesWait is how long the platform may hold back its response about the rules. A
 // response reflects the time of its request, so after a long poll it is as old as the wait.
-func (v *VM) rulesWait(others bool) time.Duration {
+func (v *VM) rulesWait(othersRead bool) time.Duration {
 	switch {
 	case !v.strict(v.table.Load()):
 		return longPollWait
-	case others:
+	case othersRead:
 		return 0
 	}
 	return min(longPollWait, lifecycle.Share(v.cfg.Load().RevokeWithin, longPollFraction))
@@ -159,7 +160,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		status.note(TableTargets, err)
+		status.logChange(TableTargets, err)
 		nextRead = time.Now().Add(wait.after(err, len(readers) == 0))
 	})
 }
@@ -177,8 +178,8 @@
 )
 
 // awaitSeedCopies waits, when all VMs start for the first time, until a seed has sent
-// its copies. It returns at once on a seed, and on a VM that starts later, whose
-// callers do not wait.
+// its copies. It returns at once on a seed, and on a VM that starts later, as its
+// callers are already there.
 func (v *VM) awaitSeedCopies(ctx context.Context) {
 	cfg := v.cfg.Load()
 	if !cfg.FirstStart || len(cfg.Seeds) == 0 || slices.Contains(cfg.Seeds, cfg.PeerAddr) {
@@ -340,14 +341,15 @@
 	stale map[string]bool
 }
 
-func (s *staleCopies) note(name string, age, bound time.Duration) {
+func (s *staleCopies) logChange(name string, age, bound time.Duration) {
 	if stale := age > bound; stale != s.stale[name] {
 		s.stale[name] = stale
 		s.log.WithFields(logrus.Fields{"Table": name, "AgeMs": age.Milliseconds(), "Stale": stale}).Warn("CopyStale")
 	}
 }
 
-// targetsUnconfirmed reports whether the platform has not confirmed the copy of the upstreams recently.
+// targetsUnconfirmed reports whether the platform has not confirmed the copy of the upstreams
+// for unconfirmedAge.
 func (v *VM) targetsUnconfirmed(now time.Time) bool {
 	return v.replicas[TableTargets].Head(now).Age > unconfirmedAge
 }
--- a/io/entry/crash_fleet_test.go
+++ b/io/entry/crash_fleet_test.go
@@ -23,9 +23,10 @@
 	// it takes until another incarnation is up.
 	poisonRuns   = 30 * time.Millisecond
 	restartAfter = 300 * time.Millisecond
-	// knownWithin is the time after the third crash in which all VMs must know.
+	// knownWithin is the time after the third crash within which all VMs must know the
+	// poison request.
 	knownWithin = time.Second
-	// maxSentAfterwards is how often the request may still be sent after that time.
+	// maxSentAfterwards is how often the poison request may still be sent after knownWithin.
 	maxSentAfterwards = 3
 	// otherDuration is how long other requests take.
 	otherDuration = 60 * time.Millisecond
@@ -64,7 +65,7 @@
 	f.mu.Unlock()
 	u := &crashingUpstream{fleet: f, id: id}
 	a := &address{}
-	a.now.Store(u)
+	a.current.Store(u)
 	u.server = httptest.NewServer(a)
 	f.t.Cleanup(func() { u.server.CloseClientConnections(); u.server.Close() })
 	f.p.set(entry.TableTargets, id, target.Registration{Service: "s", Addr: strings.TrimPrefix(u.server.URL, "http://"), Zone: "z", Slots: 4})
@@ -83,11 +84,11 @@
 
 // address is a listener used by several incarnations, one after the other.
 type address struct {
-	now atomic.Pointer[crashingUpstream]
+	current atomic.Pointer[crashingUpstream]
 }
 
 // ServeHTTP implements http.Handler.
-func (a *address) ServeHTTP(w http.ResponseWriter, r *http.Request) { a.now.Load().ServeHTTP(w, r) }
+func (a *address) ServeHTTP(w http.ResponseWriter, r *http.Request) { a.current.Load().ServeHTTP(w, r) }
 
 // crashingUpstream is one incarnation.
 type crashingUpstream struct {
@@ -132,7 +133,7 @@
 	f.started++
 	next := &crashingUpstream{fleet: f, id: fmt.Sprint("i-", f.started), server: u.server}
 	time.AfterFunc(restartAfter, func() {
-		u.server.Config.Handler.(*address).now.Store(next)
+		u.server.Config.Handler.(*address).current.Store(next)
 		f.p.set(entry.TableTargets, next.id, target.Registration{Service: "s", Addr: strings.TrimPrefix(u.server.URL, "http://"), Zone: "z", Slots: 4})
 		f.p.remove(entry.TableTargets, u.id)
 	})
@@ -178,7 +179,7 @@
 	wg.Wait()
 }
 
-// served reports whether a request is served if its caller retries as it is told to.
+// served reports whether a request is served if its caller retries after each Retry-After.
 func (v *runningVM) served(path, id string) bool {
 	for try := range 20 {
 		r := v.ask(path, fmt.Sprint(id, "-", try))
--- a/io/entry/doc.go
+++ b/io/entry/doc.go
@@ -10,10 +10,10 @@
 //
 // # Usage
 //
-//	v, err := entry.New(cfg, platform, protocol, log)
-//	err = v.Run(ctx, reload)     // Serves until ctx ends, then shuts down gracefully.
+//	v := entry.New(cfg, platform, protocol, log)
+//	err := v.Run(ctx, further) // Serves until ctx ends, then shuts down gracefully.
 //
-// When ctx ends, the VM is not ready any more and look-ups do not return it. It still
+// When ctx ends, the VM is no longer ready and look-ups do not return it. It still
 // serves callers that know its address, completes the requests in flight, and returns
 // within the grace time of the settings.
 package entry
@@ -37,7 +37,7 @@
 	TableTargets = "Targets"
 )
 
-// ErrCompacted reports that the changes of a table after a version are not retained any more.
+// ErrCompacted reports that the changes of a table after a version are no longer retained.
 var ErrCompacted = errors.New("changes after the version are no longer retained")
 
 // Rules are the operators' settings.
@@ -51,7 +51,7 @@
 	// Read returns a whole table.
 	Read(ctx context.Context, table string) (replica.Delta, error)
 	// Changes returns the changes after a version as soon as there are any, or none
-	// after the wait. It returns ErrCompacted if they are not retained any more.
+	// after the wait. It returns ErrCompacted if they are no longer retained.
 	Changes(ctx context.Context, table string, after uint64, wait time.Duration) (replica.Delta, error)
 	// RTT returns the round-trip time to the platform. It must not be measured by a
 	// call, as the platform counts calls.
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -30,8 +30,8 @@
 	readHeaderTimeout = 10 * time.Second
 	// maxHeader is in bytes. Where the rules allow less, larger headers are refused later.
 	maxHeader = 64 << 10
-	// failAfter is the time without a heartbeat after which another VM is not returned
-	// to callers any more: six heartbeats, so that a lost one does not matter.
+	// failAfter is the time without a heartbeat after which another VM is no longer
+	// returned to callers: six heartbeats, so that a lost one does not matter.
 	failAfter = 3 * time.Second
 )
 
@@ -50,7 +50,7 @@
 	members         *member.Table
 	replicas        peer.Replicas
 	peerClient      *peer.Client
-	sent            peer.SentCounter // What this VM sent to others.
+	sent            peer.SentCounter // The bytes that this VM sent to others.
 	registeredAddrs addresses
 	rtt             atomic.Int64 // See platformRTT.
 	// rttKnown is closed when rtt is set.
@@ -64,7 +64,7 @@
 	collector    ratelimit.Collector
 	activeAddrs  atomic.Pointer[[]string] // See findActiveAddrs.
 	activeCache  atomic.Pointer[activeVMs]
-	activeInputs activeInputs // Used by heartbeatLoop only: the inputs of active.
+	activeInputs activeInputs // Used by heartbeatLoop only: the inputs of activeCache.
 	// readerCache is used by cachedReaderAddrs.
 	readerCache   atomic.Pointer[cachedReaders]
 	peerAddrCache atomic.Pointer[peerAddrSet]
@@ -134,7 +134,7 @@
 	live, stop := context.WithCancel(context.Background())
 	defer stop()
 	front := &http.Server{
-		Handler: v, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeader, ConnState: v.idle.note, ConnContext: connContext, ErrorLog: nil,
+		Handler: v, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeader, ConnState: v.idle.connState, ConnContext: connContext, ErrorLog: nil,
 	}
 	var servers []*http.Server
 	serving := lifecycle.NewServing(len(further) + 2)
--- a/io/entry/exchange.go
+++ b/io/entry/exchange.go
@@ -106,10 +106,9 @@
 
 // crossExchanges is how many exchanges per heartbeat cross from one availability zone,
 // or one region, to others; the rest stay inside. So the traffic that crosses does not
-// grow with the number of VMs: with 195 VMs in three regions two of three exchanges
-// crossed, of 10 KB each, and by calculation the VMs sent each other more bytes between
-// regions than callers sent. Eight leave some that succeed where most of a region cannot
-// reach the others.
+// grow with the number of VMs: with 195 VMs in three regions, two of three exchanges of
+// 10 KB each crossed, and the VMs sent each other more bytes between regions than callers
+// did. With eight, some still succeed if most VMs of a region cannot reach the others.
 const crossExchanges = 8
 
 // localPartners returns the live VMs of this VM's own availability zone or region if
--- a/io/entry/fake_test.go
+++ b/io/entry/fake_test.go
@@ -28,7 +28,7 @@
 )
 
 // errUnavailable is the error of an unavailable platform.
-var errUnavailable = errors.New("the platform is away")
+var errUnavailable = errors.New("the platform is unavailable")
 
 // fakePlatform stores rules and registrations in memory, as JSON of core's types.
 type fakePlatform struct {
@@ -74,10 +74,10 @@
 	return p.version
 }
 
-func (p *fakePlatform) setUnavailable(away bool) {
+func (p *fakePlatform) setUnavailable(unavailable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.unavailable = away
+	p.unavailable = unavailable
 }
 
 func (p *fakePlatform) Read(_ context.Context, table string) (replica.Delta, error) {
--- a/io/entry/idle.go
+++ b/io/entry/idle.go
@@ -17,8 +17,8 @@
 	closeWhenIdle bool // All connections are closed as soon as they are idle.
 }
 
-// note implements the ConnState hook of http.Server.
-func (c *idleConns) note(conn net.Conn, state http.ConnState) {
+// connState implements the ConnState hook of http.Server.
+func (c *idleConns) connState(conn net.Conn, state http.ConnState) {
 	cc, ok := conn.(*callerConn)
 	if !ok {
 		return
--- a/io/entry/idle_test.go
+++ b/io/entry/idle_test.go
@@ -38,8 +38,8 @@
 	var conns idleConns
 	raw := &racingConn{meanwhile: conns.closeAll}
 	c := &callerConn{Conn: raw}
-	conns.note(c, http.StateNew)
-	conns.note(c, http.StateIdle)
+	conns.connState(c, http.StateNew)
+	conns.connState(c, http.StateIdle)
 	server := time.Now().Add(time.Minute)
 	if err := c.SetReadDeadline(server); err != nil {
 		t.Fatal(err)
@@ -58,11 +58,11 @@
 	now := time.Now()
 	for raw, state := range map[*racingConn]http.ConnState{old: http.StateIdle, busy: http.StateActive} {
 		c := &callerConn{Conn: raw}
-		conns.note(c, http.StateNew)
-		conns.note(c, state)
+		conns.connState(c, http.StateNew)
+		conns.connState(c, state)
 	}
 	conns.closeOlder(now.Add(time.Minute), 30*time.Second)
-	conns.note(&callerConn{Conn: young}, http.StateNew)
+	conns.connState(&callerConn{Conn: young}, http.StateNew)
 	conns.closeOlder(now.Add(time.Second), 30*time.Second)
 	if old.deadline.IsZero() || !young.deadline.IsZero() || !busy.deadline.IsZero() {
 		t.Errorf("expired: old %v, young %v, busy %v", !old.deadline.IsZero(), !young.deadline.IsZero(), !busy.deadline.IsZero())
--- a/io/entry/leave.go
+++ b/io/entry/leave.go
@@ -20,7 +20,7 @@
 	// exitMarginFraction of the grace time.
 	exitMargin         = 400 * time.Millisecond
 	exitMarginFraction = 0.08
-	// answerMargin is the time before that in which requests still in flight get a final
+	// answerMargin is the time before exitMargin in which requests still in flight get a final
 	// response. If they were cut instead, their callers could not tell whether they ran,
 	// and pipelined responses behind them on their connections would be lost.
 	answerMargin = 200 * time.Millisecond
--- a/io/entry/leaving_test.go
+++ b/io/entry/leaving_test.go
@@ -53,7 +53,8 @@
 	return len(u.notified), u.late
 }
 
-// Guards against requests to an upstream whose responses say that it is leaving while the registry does not.
+// Guards against requests to an upstream whose responses say that it is leaving while the
+// registry does not.
 func TestNoRequestsAfterLeavingHeader(t *testing.T) {
 	p := newPlatform()
 	p.set(entry.TableRules, "config", config(1))
@@ -67,10 +68,10 @@
 	<-time.After(300 * time.Millisecond)
 	p.setUnavailable(true)
 	u.leave()
-	eventually(t, "a VM is notified", func() bool { told, _ := u.seen(); return told > 0 })
+	eventually(t, "a VM is notified", func() bool { notified, _ := u.seen(); return notified > 0 })
 	<-time.After(within + time.Second)
 	if _, late := u.seen(); len(late) > 0 {
-		t.Errorf("%d requests later than %v after the upstream had set Leaving, the first %s", len(late), within, late[0])
+		t.Errorf("%d requests later than %v after the upstream had set Leaving, the first is %s", len(late), within, late[0])
 	}
 	p.setUnavailable(false)
 	p.remove(entry.TableTargets, "leaves")
@@ -78,7 +79,7 @@
 	p.set(entry.TableTargets, "leaves", target.Registration{Service: "s", Addr: u.addr(), Zone: "z", Slots: 8})
 	<-time.After(time.Second)
 	if _, late := u.seen(); len(late) > 0 {
-		t.Errorf("%d requests after its row was there again", len(late))
+		t.Errorf("%d requests after its row was registered again", len(late))
 	}
 	if status := vms[0].object(t, "a/last", "1"); status != 200 {
 		t.Errorf("the upstream that stays: %d", status)
--- a/io/entry/limits_bench_test.go
+++ b/io/entry/limits_bench_test.go
@@ -12,10 +12,10 @@
 	"auburnlatch/io/settings"
 )
 
-// BenchmarkTold measures one report of 77 teams' demand among 300 VMs, with its reply. A
-// collector gets two per second from each VM.
-func BenchmarkTold(b *testing.B) {
-	v, now := newVMAmong(33, func(vm *member.VM) { vm.Traffic = member.Traffic{Requests: 20, Bytes: 1e5} })
+// BenchmarkRecordDemand measures one report of 77 teams' demand among 300 VMs, with its
+// reply. A collector gets two reports per second from each VM.
+func BenchmarkRecordDemand(b *testing.B) {
+	v, now := newVMWithPeers(33, func(vm *member.VM) { vm.Traffic = member.Traffic{Requests: 20, Bytes: 1e5} })
 	cfg := &route.Config{}
 	var list []ratelimit.Demand
 	for i := range 77 {
@@ -29,8 +29,8 @@
 	}
 	v.table.Store(table)
 	v.Configure(&settings.Entry{Name: "self", Zone: "z0", Region: "r0", Regions: v.cfg.Load().Regions, Limits: ratelimit.Bounds{Window: 5 * time.Second}})
-	used := v.findActiveAddrs(now)
-	v.activeAddrs.Store(&used)
+	active := v.findActiveAddrs(now)
+	v.activeAddrs.Store(&active)
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
--- a/io/entry/log.go
+++ b/io/entry/log.go
@@ -73,7 +73,7 @@
 	l.log.WithFields(f).Info("RequestAnswered")
 }
 
-// refused logs a request without a response, with the state it was refused by.
+// refused logs a request without a response, with the state that led to it.
 func (l *requestLog) refused(v *VM, req *request, e *verdict.Error, code int) {
 	if !l.failures.take() {
 		return
--- a/io/entry/lookup_test.go
+++ b/io/entry/lookup_test.go
@@ -13,9 +13,9 @@
 	"auburnlatch/io/logline"
 )
 
-// sizes gives the VMs whose name ends in 0 a fast link and callers, and the others a slow
+// assignSizes gives the VMs whose name ends in 0 a fast link and callers, and the others a slow
 // link.
-func sizes(vm *member.VM) {
+func assignSizes(vm *member.VM) {
 	vm.Capacity = member.Capacity{LinkMbps: 20, Cores: 0.16}
 	if strings.HasSuffix(vm.Name, "0") {
 		vm.Capacity = member.Capacity{LinkMbps: 200, Cores: 0.8}
@@ -27,7 +27,7 @@
 // with 66 VMs were spread over all of them, uploads would wait for links of 20 Mbit/s, and
 // hardly any connection to an upstream would be used twice before it closes.
 func TestLookupReturnsFewOfManyVMs(t *testing.T) {
-	v, now := newVMAmong(22, sizes)
+	v, now := newVMWithPeers(22, assignSizes)
 	for _, region := range []string{"r0", "r1", "r2"} {
 		addrs := v.Lookup(now, region, "z0").Addrs
 		if len(addrs) < 4 || len(addrs) > 8 {
@@ -39,10 +39,10 @@
 	}
 }
 
-// The log must say when callers were sent to a VM and when not any more, in one line for
+// The log must say when callers were sent to a VM and when no longer, in one line for
 // each change and none for each look-up.
 func TestLookupIsLoggedWhenItChanges(t *testing.T) {
-	v, now := newVMAmong(2, sizes)
+	v, now := newVMWithPeers(2, assignSizes)
 	var buf bytes.Buffer
 	v.log = logrus.NewEntry(logline.New(&buf, false))
 	logged := func() int { return strings.Count(buf.String(), "msg=VMsNamed") }
@@ -64,7 +64,7 @@
 // few shares would be of VMs with callers, and the upstream would hardly warm up. Only VMs
 // with callers have a share; a silent VM may still be running and keeps its own.
 func TestColdCapacityIsSharedByActiveVMs(t *testing.T) {
-	v, now := newVMAmong(22, sizes)
+	v, now := newVMWithPeers(22, assignSizes)
 	for _, at := range []time.Time{now, now.Add(failAfter + time.Second)} {
 		var names []string
 		for _, vm := range v.findActive(at).vms {
--- a/io/entry/members.go
+++ b/io/entry/members.go
@@ -41,7 +41,7 @@
 		}
 		v.peerClient.CloseIdle(now)
 		for name, t := range v.replicas {
-			copies.note(name, t.Head(now).Age, v.cfg.Load().LeaveWithin)
+			copies.logChange(name, t.Head(now).Age, v.cfg.Load().LeaveWithin)
 		}
 		v.upstreams.Sweep(now, v.targets.has)
 		v.idle.closeOlder(now, v.idleTimeout())
@@ -124,10 +124,10 @@
 }
 
 // findActive returns the VMs that share the capacity of a cold upstream: those that may
-// be running and have callers or are returned to them. If the others were included, their
-// shares would go unused and the upstream would stay cold for longer. This VM is always
-// included. If it has new callers, the others may not know of it for two heartbeats, and
-// it takes a share on top of theirs in that time.
+// be running and have callers or are returned to them. If the others were included, an
+// upstream whose shares fall to them would get no requests for as long as it is cold.
+// This VM is always included. If it has new callers, the others may not know of it for
+// two heartbeats, and it takes a share on top of theirs in that time.
 func (v *VM) findActive(now time.Time) activeVMs {
 	cfg := v.cfg.Load()
 	s := activeVMs{self: v.traffic.Traffic(now).Requests > 0}
@@ -200,7 +200,7 @@
 }
 
 // joinHold is how long a VM that has started takes no share of common budgets: six
-// heartbeats, which is also the time after which a silent VM is not live any more.
+// heartbeats, which is also the time after which a silent VM is no longer live.
 const joinHold = 3 * time.Second
 
 // silentRetention is how long a silent VM keeps its share of common budgets. A VM that is
--- a/io/entry/metrics.go
+++ b/io/entry/metrics.go
@@ -33,7 +33,7 @@
 	latency *hdrhistogram.Histogram
 }
 
-// The histogram's range and precision: 0.1 ms to a minute, two digits.
+// The histogram's range is 0.1 ms to a minute, with two significant digits.
 const (
 	latencyUnit = 100 * time.Microsecond
 	maxLatency  = int64(time.Minute / latencyUnit)
--- a/io/entry/notice.go
+++ b/io/entry/notice.go
@@ -25,8 +25,8 @@
 	noticeFanout   = 2
 )
 
-// notice returns what an upstream reports about itself in a response's status and header.
-func (v *VM) notice(status int, h http.Header) balance.Notice {
+// parseNotice returns what an upstream reports about itself in a response's status and header.
+func (v *VM) parseNotice(status int, h http.Header) balance.Notice {
 	var n balance.Notice
 	if status == http.StatusServiceUnavailable {
 		n.RetryAfter = upstream.RetryAfter(h)
--- a/io/entry/notice_test.go
+++ b/io/entry/notice_test.go
@@ -10,7 +10,7 @@
 	"auburnlatch/io/upstream"
 )
 
-func TestLimitOf(t *testing.T) {
+func TestParseLimit(t *testing.T) {
 	named := func(perSecond float64) throttle.Notice {
 		return throttle.Notice{Kind: throttle.Named, PerSecond: perSecond}
 	}
@@ -61,7 +61,7 @@
 		{"another value", []string{"true"}, false},
 		{"another number", []string{"11"}, false},
 	} {
-		if got := v.notice(http.StatusOK, http.Header{"Leaving": c.values}).Leaving; got != c.want {
+		if got := v.parseNotice(http.StatusOK, http.Header{"Leaving": c.values}).Leaving; got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -90,7 +90,7 @@
 		{"exponent", 503, []string{"1e9"}, 0},
 		{"date", 503, []string{"Thu, 03 Dec 2026 09:00:00 GMT"}, 0},
 	} {
-		if got := v.notice(c.status, http.Header{"Retry-After": c.values}).RetryAfter; got != c.want {
+		if got := v.parseNotice(c.status, http.Header{"Retry-After": c.values}).RetryAfter; got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -102,7 +102,7 @@
 	}
 	v := &VM{protocol: Protocol{Limit: "Limit"}}
 	f.Fuzz(func(t *testing.T, a, b string) {
-		n := v.notice(http.StatusServiceUnavailable, http.Header{"Limit": {a, b}, "Retry-After": {a, b}})
+		n := v.parseNotice(http.StatusServiceUnavailable, http.Header{"Limit": {a, b}, "Retry-After": {a, b}})
 		if x := n.Limit.PerSecond; !(x >= 0) {
 			t.Errorf("a limit of %v", x)
 		}
--- a/io/entry/partners_test.go
+++ b/io/entry/partners_test.go
@@ -14,17 +14,17 @@
 
 // The traffic that crosses regions must not grow with the number of VMs. With 195 VMs that
 // exchanged with any other on each heartbeat, two of three exchanges went to other regions,
-// and cost more bytes there than all that callers sent. This must also hold for a VM whose
-// copies are old or that has just started: with a slow platform that was true of all 300 VMs,
-// and they sent digests of 7 KB anywhere. In a small fleet exchanges may go anywhere.
+// and cost more bytes there than all requests of callers. This must also hold for a VM whose
+// copies are old or that has just started: with a slow platform the copies of all 300 VMs
+// were old, and they sent digests of 7 KB anywhere. In a small fleet exchanges may go anywhere.
 func TestExchangesStayLocal(t *testing.T) {
 	const tries = 2000
 	for _, tc := range []struct {
-		name             string
-		perZone          int
-		behind, started  bool
-		far, other       float64 // Upper bounds of the fractions to other regions, and to other zones of this one.
-		leastFar, leastO float64
+		name                 string
+		perZone              int
+		behind, started      bool
+		far, other           float64 // Upper bounds of the fractions to other regions, and to other zones of this one.
+		leastFar, leastOther float64
 	}{
 		{"large", 22, false, false, 0.12, 0.3, 0.05, 0.16},
 		{"small", 1, false, false, 0.72, 0.28, 0.6, 0.15},
@@ -33,7 +33,7 @@
 		{"small and just started", 1, false, true, 0.72, 0.28, 0.6, 0.15},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			v, now := newVMAmong(tc.perZone, nil)
+			v, now := newVMWithPeers(tc.perZone, nil)
 			if tc.behind {
 				now = now.Add(unconfirmedAge + time.Millisecond)
 			}
@@ -55,8 +55,8 @@
 			if far > tc.far || far < tc.leastFar {
 				t.Errorf("a fraction of %.2f goes to other regions, want %.2f to %.2f", far, tc.leastFar, tc.far)
 			}
-			if other > tc.other || other < tc.leastO {
-				t.Errorf("a fraction of %.2f goes to other zones, want %.2f to %.2f", other, tc.leastO, tc.other)
+			if other > tc.other || other < tc.leastOther {
+				t.Errorf("a fraction of %.2f goes to other zones, want %.2f to %.2f", other, tc.leastOther, tc.other)
 			}
 		})
 	}
@@ -65,7 +65,7 @@
 // A VM with old copies must not ask only the VMs near it for newer ones, as theirs may be
 // as old.
 func TestCopiesArePulledFromAllRegions(t *testing.T) {
-	v, now := newVMAmong(22, nil)
+	v, now := newVMWithPeers(22, nil)
 	far, list := 0, v.copyPartners(now.Add(unconfirmedAge+time.Millisecond))
 	for _, zone := range list {
 		if v.cfg.Load().Regions[zone] != "r0" {
@@ -81,7 +81,7 @@
 // upstreams crossed between regions when they were not. If the VMs there fail, others must
 // take over.
 func TestReadersAreNearPlatform(t *testing.T) {
-	v, now := newVMAmong(22, func(vm *member.VM) {
+	v, now := newVMWithPeers(22, func(vm *member.VM) {
 		vm.PlatformTrip = 110 * time.Millisecond
 		if vm.Zone == "z1" || vm.Zone == "z4" {
 			vm.PlatformTrip = 2 * time.Millisecond
@@ -116,7 +116,8 @@
 	}
 }
 
-// Guards against readers that serve a whole fleet, and against copies that relays let get too old.
+// Guards against readers that serve a whole fleet, and against copies that get too old at
+// relays.
 func TestZonePullsFromRelays(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -131,7 +132,7 @@
 		{"the relays do not answer", 40, 5 * time.Second, directAge, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			v, now := newVMAmong(tc.perZone, func(vm *member.VM) { vm.Address.Peer = vm.Zone + "/" + vm.Name })
+			v, now := newVMWithPeers(tc.perZone, func(vm *member.VM) { vm.Address.Peer = vm.Zone + "/" + vm.Name })
 			cfg := *v.cfg.Load()
 			cfg.LeaveWithin = tc.leave
 			v.Configure(&cfg)
--- a/io/entry/peers_bench_test.go
+++ b/io/entry/peers_bench_test.go
@@ -8,12 +8,12 @@
 	"auburnlatch/core/member"
 )
 
-// BenchmarkLook measures what a VM without callers computes about the others, by their number:
-// the readers, the sources of its copies, the active VMs, and the partners of its exchanges.
-func BenchmarkLook(b *testing.B) {
+// BenchmarkPeerViews measures what a VM without callers computes about the others, by their
+// number: the readers, the sources of its copies, the active VMs, and the partners of its exchanges.
+func BenchmarkPeerViews(b *testing.B) {
 	for _, n := range []int{300, 1_000, 2_000} {
-		v, now := newVMAmong(n/9, func(vm *member.VM) { vm.PlatformTrip = time.Millisecond })
-		for _, look := range []struct {
+		v, now := newVMWithPeers(n/9, func(vm *member.VM) { vm.PlatformTrip = time.Millisecond })
+		for _, view := range []struct {
 			name string
 			f    func()
 		}{
@@ -24,10 +24,10 @@
 			{"Known", func() { v.knownNames(now) }},
 			{"Publish", func() { v.publish(now) }},
 		} {
-			b.Run(fmt.Sprint(look.name, "/", n), func(b *testing.B) {
+			b.Run(fmt.Sprint(view.name, "/", n), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					look.f()
+					view.f()
 				}
 			})
 		}
--- a/io/entry/peers_test.go
+++ b/io/entry/peers_test.go
@@ -11,9 +11,9 @@
 	"auburnlatch/io/settings"
 )
 
-// newVMAmong returns a VM of the first of nine zones, in three regions, that knows
+// newVMWithPeers returns a VM of the first of nine zones, in three regions, that knows
 // perZone live VMs in each of them, and the time at which it does.
-func newVMAmong(perZone int, change func(*member.VM)) (*VM, time.Time) {
+func newVMWithPeers(perZone int, change func(*member.VM)) (*VM, time.Time) {
 	regions := make(map[string]string)
 	for i := range 9 {
 		regions[fmt.Sprint("z", i)] = fmt.Sprint("r", i%3)
--- a/io/entry/pipelined.go
+++ b/io/entry/pipelined.go
@@ -17,8 +17,8 @@
 	// maxPipelinedPerConn is how many requests of one connection are in flight besides
 	// the one to be answered next.
 	maxPipelinedPerConn = 8
-	// maxPipelinedPerVM is the bound over all connections: at responseBuffer each, they
-	// take 32 MB at most, of 184 MB on the smallest VM.
+	// maxPipelinedPerVM is the bound over all connections: at responseBuffer each, the
+	// responses take 32 MB at most, of 184 MB on the smallest VM.
 	maxPipelinedPerVM = 128
 )
 
@@ -30,10 +30,9 @@
 )
 
 // pipelined is a pipelined request that is processed as soon as it is read, before the
-// earlier requests of its connection have been answered. With pipelined look-ups of
-// 3.5 s, the mean score over five days rose from 0.652 to 0.656, with repeated runs up
-// to 0.004 apart. The main benefit is that a stopping VM has no request that was read
-// but not begun.
+// earlier requests of its connection have been answered. Otherwise it would be late by
+// their durations, such as 3.5 s for a slow look-up, and a stopping VM would have
+// requests that were read but not begun.
 type pipelined struct {
 	vm     *VM
 	http   *http.Request
--- a/io/entry/placement.go
+++ b/io/entry/placement.go
@@ -24,13 +24,14 @@
 	syncTimeout = 2 * time.Second
 	// saveInterval is the least time between two writes of a region's placements to the
 	// platform. If all VMs of a region lose power at once, they start with the placements
-	// as of then. At ten bytes an object the 300 objects of a small region are 1.5 KB/s.
+	// as of the last write. At ten bytes an object the 300 objects of a small region are 1.5 KB/s.
 	saveInterval = 2 * time.Second
 	// syncPeriod is how long a VM requests placements from others after it has started
 	// or begun to have callers.
 	syncPeriod = 3 * time.Second
-	// standbyDuty is the key for ranking the VMs that hold placements whether or not they
-	// have callers. The first standbys of them do, and the first writes to the platform.
+	// standbyDuty is the key by which the VMs of a region are ranked. The first standbys
+	// of them hold placements whether or not they have callers, and the first of all
+	// writes them to the platform.
 	standbyDuty = "placements"
 	standbys    = 6
 	// broadcastBelow is the number of other VMs of a region below which placements are
@@ -120,7 +121,7 @@
 }
 
 // restore reads the region's placements from the platform. Without them objects would be
-// placed anew, and half of their targets would not have them cached.
+// placed anew, half of them at targets that do not have them cached.
 func (p *placementPublisher) restore(ctx context.Context) {
 	if p.vm.cfg.Load().FirstStart {
 		return // There were no callers before.
--- a/io/entry/placement_holders_test.go
+++ b/io/entry/placement_holders_test.go
@@ -20,7 +20,7 @@
 		{"a small region", 4, 12, 12},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			v, now := newVMAmong(tc.perZone, func(vm *member.VM) {
+			v, now := newVMWithPeers(tc.perZone, func(vm *member.VM) {
 				vm.Address.Peer = vm.Name
 				if named(vm) {
 					vm.Traffic, vm.Capacity = member.Traffic{Requests: 200, Bytes: 1e6}, member.Capacity{LinkMbps: 1000, Cores: 2}
@@ -41,9 +41,10 @@
 	}
 }
 
-// Guards against callers being sent to a VM that does not know the placements of their objects.
+// Guards against callers being sent to a VM that does not know the placements of their
+// objects.
 func TestVMWithFirstCallersRequestsPlacements(t *testing.T) {
-	v, now := newVMAmong(100, nil)
+	v, now := newVMWithPeers(100, nil)
 	publisher := &placementPublisher{vm: v}
 	if publisher.shouldSync(now) {
 		t.Error("a VM without callers requests placements")
--- a/io/entry/poison_answer_test.go
+++ b/io/entry/poison_answer_test.go
@@ -41,7 +41,8 @@
 	f.requireCrashes()
 }
 
-// Guards against a poison request that is cleared by the 421 of another incarnation at the address.
+// Guards against a poison request that is cleared by the 421 of another incarnation at the
+// address.
 func TestMisdirectedResponseDoesNotClear(t *testing.T) {
 	p := poisonPlatform()
 	var reused atomic.Bool
--- a/io/entry/poison_test.go
+++ b/io/entry/poison_test.go
@@ -90,7 +90,7 @@
 	late := startVM(t, "late", p, func(cfg *settings.Entry) { cfg.Seeds = []string{vms[0].cfg.PeerAddr} })
 	ready(t, late)
 	floodPoison([]*runningVM{late}, 1000, time.Second)
-	f.requireStopped("while the platform is away")
+	f.requireStopped("while the platform is unavailable")
 	p.setUnavailable(false)
 	<-time.After(2 * time.Second)
 	for _, v := range append(vms, late) {
@@ -98,10 +98,11 @@
 		<-v.done
 	}
 	floodPoison(poisonFleet(t, p, 2), 2000, 2*time.Second)
-	f.requireStopped("after the platform was back and all VMs had restarted")
+	f.requireStopped("after the platform was available again and all VMs had restarted")
 }
 
-// Guards against a poison request that crashes all upstreams before any VM can know, and is sent again.
+// Guards against a poison request that crashes all upstreams before any VM can know, and is
+// sent again.
 func TestPoisonRequestThatComesInABurstIsStopped(t *testing.T) {
 	p := poisonPlatform()
 	f := startCrashFleet(t, p, 8)
@@ -118,7 +119,8 @@
 	f.requireCrashes()
 }
 
-// Guards against a VM that starts before there is a ban, and tries a request that the others suspect.
+// Guards against a VM that starts before there is a ban, and tries a request that the others
+// suspect.
 func TestPoisonRequestIsSuspectedByVMsThatStartLater(t *testing.T) {
 	p := poisonPlatform()
 	f := startCrashFleet(t, p, 8)
@@ -136,7 +138,7 @@
 	eventually(t, "it knows the others", func() bool { return late.Figures(time.Now()).LiveVMs == 3 })
 	<-time.After(time.Second)
 	for i := range 20 {
-		go late.ask(poisonPath, fmt.Sprint("again", i)) // At the same moment: a suspect, it is tried once.
+		go late.ask(poisonPath, fmt.Sprint("again", i)) // All at once: as a suspect, the request gets a single trial.
 	}
 	<-time.After(200 * time.Millisecond)
 	if after, _, _ := f.reached(); len(after)-len(before) > 1 {
@@ -178,7 +180,8 @@
 	f.requireStopped("in bursts beside a popular one")
 }
 
-// Guards against a poison request whose upstreams fall silent, so that no closed connection indicates a crash.
+// Guards against a poison request whose upstreams fall silent, so that no closed connection
+// indicates a crash.
 func TestPoisonRequestIsStoppedWhereUpstreamsFallSilent(t *testing.T) {
 	p := poisonPlatform()
 	f := startCrashFleet(t, p, 8)
--- a/io/entry/proxy.go
+++ b/io/entry/proxy.go
@@ -32,7 +32,8 @@
 	resp *http.Response
 	body []byte
 	rest io.ReadCloser // What exceeds the buffer; nil if nothing does.
-	// lease is of the target that responded, at the tries-th try.
+	// lease is the lease on the target that responded, and tries is the number of targets
+	// tried, including that one.
 	lease balance.Lease
 	tries int
 }
@@ -81,7 +82,7 @@
 			break
 		}
 		if e == nil || e.Verdict != verdict.NotRun {
-			v.limits.Charge(time.Now(), req.team) // It runs once more.
+			v.limits.Charge(time.Now(), req.team) // The request may run once more.
 		}
 	}
 	if last != nil {
@@ -89,7 +90,7 @@
 	}
 	if lastErr.Reason == verdict.ReasonShed {
 		now := time.Now()
-		// If all possible upstreams asked for a pause, the caller would be refused before its end.
+		// If all usable upstreams asked for a pause, a retry before its end would be refused too.
 		lastErr.RetryAfter = max(lastErr.RetryAfter, v.balancer.Wait(now, v.balanceRequest(req, now)))
 	}
 	return nil, lastErr
@@ -170,7 +171,7 @@
 	}
 	var n balance.Notice
 	if resp.StatusCode != http.StatusMisdirectedRequest {
-		if n = v.notice(resp.StatusCode, resp.Header); v.balancer.Heard(time.Now(), lease, n) {
+		if n = v.parseNotice(resp.StatusCode, resp.Header); v.balancer.Heard(time.Now(), lease, n) {
 			v.requests.notice(lease, n)
 		}
 		// A 421 comes from another incarnation that now has the address. It says nothing
--- a/io/entry/push.go
+++ b/io/entry/push.go
@@ -14,12 +14,12 @@
 
 const (
 	// pushFanout is how many VMs each VM pushes a change to when it receives it. With
-	// three a change reaches 94 of 100 VMs by calculation; the others receive it on their
-	// next pull. All but one are of the VM's own region.
+	// three, a change reaches 94 of 100 VMs; the others receive it on their next pull. All
+	// but one of the receivers are of the VM's own region.
 	pushFanout = 3
 	// crossRegionPushers is how many VMs of a region push a change to another region. If
-	// changes were pushed to any VM, two of three copies, as many as there are VMs, would
-	// cross between regions.
+	// changes were pushed to VMs of any region, two of three copies would cross between
+	// regions, and their number would grow with that of the VMs.
 	crossRegionPushers = 4
 	// pushInterval bounds how often a VM pushes, so that changes in quick succession
 	// are sent together.
@@ -59,14 +59,14 @@
 // loop pushes changes until ctx ends.
 func (p *pusher) loop(ctx context.Context) {
 	p.pushed = make(map[string]uint64)
-	look := time.NewTicker(pushWindow / 2)
-	defer look.Stop()
+	tick := time.NewTicker(pushWindow / 2)
+	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-p.vm.toPush:
-		case <-look.C: // Versions have to be recorded without changes too.
+		case <-tick.C: // Versions have to be recorded without changes too.
 		}
 		now := time.Now()
 		if deltas := p.changes(now); len(deltas) > 0 {
@@ -117,7 +117,7 @@
 	}
 	for _, addr := range receivers {
 		p.vm.background.Add(1)
-		go (&handoff{vm: p.vm, addr: addr, deltas: deltas}).run(ctx)
+		go (&tablePush{vm: p.vm, addr: addr, deltas: deltas}).run(ctx)
 	}
 }
 
@@ -161,15 +161,15 @@
 	return append(near, far[:min(pushFanout-len(near), len(far))]...)
 }
 
-// handoff pushes changes to one VM.
-type handoff struct {
+// tablePush pushes changes to one VM.
+type tablePush struct {
 	vm     *VM
 	addr   string
 	deltas []replica.Delta
 }
 
 // run pushes once: a VM that is missed pulls the changes itself.
-func (h *handoff) run(ctx context.Context) {
+func (h *tablePush) run(ctx context.Context) {
 	defer h.vm.background.Done()
 	if err := h.vm.peerClient.PushTables(ctx, h.addr, h.deltas); err != nil {
 		h.vm.log.WithFields(logrus.Fields{"Addr": h.addr, "Err": err}).Debug("PushFailed")
--- a/io/entry/push_test.go
+++ b/io/entry/push_test.go
@@ -81,7 +81,7 @@
 
 // A VM must push changes to others without being asked. With pulls alone, the last of 80 VMs
 // got a configuration two and a half seconds after the first, as one of the two readers may
-// know it a second before the other. It served by the old one for longer than promised.
+// know it a second before the other. It served requests by the old one for too long.
 func TestChangeIsPushed(t *testing.T) {
 	p, v, peer := startBesideUpToDatePeer(t)
 	for version := uint64(2); version < 5; version++ {
--- a/io/entry/register_test.go
+++ b/io/entry/register_test.go
@@ -57,7 +57,7 @@
 
 // When all VMs of a large fleet start for the first time, only the seed must read the
 // platform, and the others must get its copies before callers come. When each VM read all
-// rules and upstreams, 195 VMs made 2,000 calls, as many as the two readers make in a day.
+// rules and upstreams, 195 VMs made 2,000 calls.
 func TestFirstStartReadsThePlatformOnce(t *testing.T) {
 	p := newPlatform()
 	p.set(entry.TableRules, "config", config(1))
--- a/io/entry/serve.go
+++ b/io/entry/serve.go
@@ -31,8 +31,8 @@
 	notReadyRetryAfter = 500 * time.Millisecond
 	// maxStartWait is how long after its start a VM holds requests until its first copies of
 	// the rules and of the upstreams are there. It covers three reads across regions, as 900
-	// upstreams are two pages, and decoding them: by calculation 0.31 s with one page and half
-	// a second with two. When requests were refused instead, 250 callers retried half a second
+	// upstreams are two pages, and decoding them: 0.31 s with one page and half a second with
+	// two. When requests were refused instead, 250 callers retried half a second
 	// later, on new connections. A VM that gets no copies in that time refuses.
 	maxStartWait = 700 * time.Millisecond
 	// defaultDeadline applies if neither the caller nor the route sets one.
@@ -123,7 +123,7 @@
 	}
 	rt := table.Find(r.Host, r.URL.EscapedPath())
 	if rt == nil {
-		return req, v.unknown(req, table, verdict.ReasonNoService)
+		return req, v.unknownError(req, table, verdict.ReasonNoService)
 	}
 	req.route = rt
 	if e := v.authenticate(req, table); e != nil {
--- a/io/entry/teams.go
+++ b/io/entry/teams.go
@@ -20,8 +20,8 @@
 	// lapseFraction is the fraction of RevokeWithin after which a VM whose rules are not
 	// verified takes no new callers.
 	lapseFraction = 0.8
-	// unverifiedRetryAfter is when to retry at a VM whose rules are not verified: others'
-	// may be, and this VM asks them twice a second.
+	// unverifiedRetryAfter is when to retry at a VM whose rules are not verified: those of
+	// another VM may be, and this VM asks the others twice a second.
 	unverifiedRetryAfter = 500 * time.Millisecond
 )
 
@@ -82,13 +82,13 @@
 	req.keyPrint = team.Fingerprint(key)
 	req.team = table.Teams.ByKey(key)
 	if req.team == nil {
-		return v.unknown(req, table, verdict.ReasonUnknownKey)
+		return v.unknownError(req, table, verdict.ReasonUnknownKey)
 	}
 	return nil
 }
 
-// unknown returns the error of a request whose key or route is not in the rules.
-func (v *VM) unknown(req *request, table *route.Table, reason verdict.Reason) *verdict.Error {
+// unknownError returns the error of a request whose key or route is not in the rules.
+func (v *VM) unknownError(req *request, table *route.Table, reason verdict.Reason) *verdict.Error {
 	if v.strict(table) && req.rulesAge > maxAgeForUnknown {
 		return verdict.New(verdict.NotRun, verdict.ReasonNotSure, unverifiedRetryAfter)
 	}
