--- a/io/peer/client.go
+++ b/io/peer/client.go
@@ -57,8 +57,8 @@
 // WithDial sets the function that opens connections.
 func WithDial(dial Dial) Option { return func(c *Client) { c.dial = dial } }
 
-// WithExchangesCounted counts the bytes sent in exchanges of members and tables in t.
-func WithExchangesCounted(t *SentCounter) Option { return func(c *Client) { c.sent = t } }
+// WithExchangesCounted adds the bytes sent in exchanges of members and tables to s.
+func WithExchangesCounted(s *SentCounter) Option { return func(c *Client) { c.sent = s } }
 
 // NewClient returns a client without connections.
 func NewClient(opts ...Option) *Client {
--- a/io/peer/datagram.go
+++ b/io/peer/datagram.go
@@ -20,9 +20,9 @@
 	// itemsPerDatagram is how many placements, runs or bans a datagram holds. At 60 bytes each
 	// it stays below the MTU of the links.
 	itemsPerDatagram = 18
-	// maxDatagram is the size of the receive buffer in bytes. VMs send no longer datagrams.
+	// maxDatagram is the size of the receive buffer in bytes, longer than any datagram of a VM.
 	maxDatagram = 4 << 10
-	// maxReplyPlacements is how many placements the reply to one request contains.
+	// maxReplyPlacements bounds the placements in the reply to one request.
 	maxReplyPlacements = 4 << 10
 	// demandsPerDatagram is how many teams' demands a datagram holds, at nine bytes each, and
 	// maxDemands is how many a VM sends at once. Teams beyond it get equal shares.
@@ -93,8 +93,8 @@
 // DatagramsOption configures Datagrams.
 type DatagramsOption func(*Datagrams)
 
-// WithDatagramsCounted counts the bytes sent in t.
-func WithDatagramsCounted(t *SentCounter) DatagramsOption { return func(d *Datagrams) { d.sent = t } }
+// WithDatagramsCounted adds the bytes sent in datagrams to s.
+func WithDatagramsCounted(s *SentCounter) DatagramsOption { return func(d *Datagrams) { d.sent = s } }
 
 // WithLimits sets the table that receives the demand of teams with rate limits.
 func WithLimits(t LimitTable) DatagramsOption { return func(d *Datagrams) { d.limits = t } }
--- a/io/peer/replica.go
+++ b/io/peer/replica.go
@@ -47,8 +47,8 @@
 	return asOf.Age(clock.SinceBoot())
 }
 
-// confirm merges the heads of a VM that were requested at a moment. Only a reply confirms a
-// replica: a message sent without a request may have been delayed for any time.
+// confirm merges the heads in another VM's reply to a request sent at asked. Only a reply
+// confirms a replica: a message sent without a request may have been delayed for any time.
 func (r Replicas) confirm(asked lease.Moment, theirs map[string]replica.Head) {
 	for name, h := range theirs {
 		if t := r[name]; t != nil {
--- a/io/peer/sent.go
+++ b/io/peer/sent.go
@@ -21,15 +21,15 @@
 type Sent struct{ Members, Tables, Placements, Poison, Demand, Upstreams int64 }
 
 // Sent returns the numbers of bytes sent so far.
-func (t *SentCounter) Sent() Sent {
-	return Sent{t.Members.Load(), t.Tables.Load(), t.Placements.Load(), t.Poison.Load(), t.Demand.Load(), t.Upstreams.Load()}
+func (s *SentCounter) Sent() Sent {
+	return Sent{s.Members.Load(), s.Tables.Load(), s.Placements.Load(), s.Poison.Load(), s.Demand.Load(), s.Upstreams.Load()}
 }
 
 // count adds the size of a reply or pushed message.
-func (t *SentCounter) count(m *schema.SyncReply) {
+func (s *SentCounter) count(m *schema.SyncReply) {
 	members := proto.Size(m.GetDelta())
-	t.Members.Add(int64(members))
-	t.Tables.Add(int64(proto.Size(m) - members))
+	s.Members.Add(int64(members))
+	s.Tables.Add(int64(proto.Size(m) - members))
 }
 
 // countRequest adds the size of a request.
--- a/io/platform/config.go
+++ b/io/platform/config.go
@@ -43,8 +43,8 @@
 }
 
 // Head reads the head row. It costs one read.
-func (r *InventoryStore) Head(ctx context.Context) (Head, error) {
-	row, err := r.client.Get(ctx, headKey)
+func (s *InventoryStore) Head(ctx context.Context) (Head, error) {
+	row, err := s.client.Get(ctx, headKey)
 	if err != nil {
 		return Head{}, err
 	}
@@ -56,10 +56,10 @@
 }
 
 // Changes reads the changes after a version, oldest first.
-func (r *InventoryStore) Changes(ctx context.Context, after uint64) ([]inventory.Change, error) {
+func (s *InventoryStore) Changes(ctx context.Context, after uint64) ([]inventory.Change, error) {
 	var changes []inventory.Change
 	for {
-		rows, err := r.client.Scan(ctx, changePrefix, changeKey(after), changePageSize)
+		rows, err := s.client.Scan(ctx, changePrefix, changeKey(after), changePageSize)
 		if err != nil {
 			return nil, err
 		}
@@ -79,11 +79,11 @@
 
 // Snapshot reads the snapshot named by the head. Version 0 is the empty
 // inventory.
-func (r *InventoryStore) Snapshot(ctx context.Context, head Head) (*inventory.Inventory, error) {
+func (s *InventoryStore) Snapshot(ctx context.Context, head Head) (*inventory.Inventory, error) {
 	if head.Snapshot == 0 {
 		return &inventory.Inventory{}, nil
 	}
-	data, err := r.client.GetObject(ctx, head.object)
+	data, err := s.client.GetObject(ctx, head.object)
 	if err != nil {
 		return nil, err
 	}
@@ -103,26 +103,26 @@
 // most once, and never after the head has changed. The change ID stored for the
 // version then shows which change was committed. If ctx is done first, the
 // verdict is MaybeRan, or NotRun if the transaction was never sent.
-func (r *InventoryStore) Accept(ctx context.Context, change inventory.Change, next *inventory.Inventory) error {
-	head, err := r.Head(ctx)
+func (s *InventoryStore) Accept(ctx context.Context, change inventory.Change, next *inventory.Inventory) error {
+	head, err := s.Head(ctx)
 	if err != nil {
 		return verdict.Wrap(err, verdict.NotRun, verdict.ReasonPlatform, time.Second)
 	}
 	if head.Version != change.Based {
 		return errors.Wrapf(inventory.ErrVersion, "based on %d, newest is %d", change.Based, head.Version)
 	}
-	writes, err := r.newTransaction(ctx, head, change, next)
+	writes, err := s.newTransaction(ctx, head, change, next)
 	if err != nil {
 		return verdict.Wrap(err, verdict.NotRun, verdict.ReasonPlatform, time.Second)
 	}
 	sent := false
 	for {
-		res, err := r.client.Commit(ctx, writes)
+		res, err := s.client.Commit(ctx, writes)
 		switch {
 		case err == nil && len(res.Conflicts) == 0:
 			return nil
 		case err == nil:
-			return r.resolveConflict(ctx, change)
+			return s.resolveConflict(ctx, change)
 		}
 		var pe *Error
 		sent = sent || !errors.As(err, &pe) || pe.Sent
@@ -137,7 +137,7 @@
 	}
 }
 
-func (r *InventoryStore) newTransaction(ctx context.Context, head Head, change inventory.Change, next *inventory.Inventory) ([]Write, error) {
+func (s *InventoryStore) newTransaction(ctx context.Context, head Head, change inventory.Change, next *inventory.Inventory) ([]Write, error) {
 	snapshot, object := head.Snapshot, head.object
 	if next.Version-snapshot >= snapshotInterval {
 		data, err := proto.Marshal(wire.FromInventory(next))
@@ -147,7 +147,7 @@
 		// The snapshot is stored before the head names it. Its name contains the
 		// change ID, as another change for the same version has other content.
 		snapshot, object = next.Version, fmt.Sprintf("inventory-%d-%s", next.Version, change.ID)
-		if err := r.client.PutObject(ctx, object, data); err != nil {
+		if err := s.client.PutObject(ctx, object, data); err != nil {
 			return nil, err
 		}
 	}
@@ -167,8 +167,8 @@
 
 // resolveConflict checks which change was committed as the version that change
 // was meant for. It returns nil if it was change itself.
-func (r *InventoryStore) resolveConflict(ctx context.Context, change inventory.Change) error {
-	row, err := r.client.Get(ctx, changeKey(change.Based+1))
+func (s *InventoryStore) resolveConflict(ctx context.Context, change inventory.Change) error {
+	row, err := s.client.Get(ctx, changeKey(change.Based+1))
 	if err != nil {
 		return verdict.Wrap(err, verdict.MaybeRan, verdict.ReasonPlatform, time.Second)
 	}
--- a/io/quarantine/publisher.go
+++ b/io/quarantine/publisher.go
@@ -23,8 +23,8 @@
 	// compareInterval is how often a VM that knows of bans compares them with those of a
 	// peer.
 	compareInterval = 500 * time.Millisecond
-	// After its start, a VM asks a peer for all that it knows at every pullInterval for
-	// the time startupPulls. By then all peers know the VM and send it their news.
+	// startupPulls is how long after its start a VM requests all that a peer knows, once
+	// every pullInterval. By then all peers know the VM and send it their news.
 	startupPulls = 3 * time.Second
 	pullInterval = 500 * time.Millisecond
 )
--- a/io/upstream/pool.go
+++ b/io/upstream/pool.go
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	if ctx.Err() != nil {
-		// The caller has left or its deadline has passed, so nothing is written.
+		// The caller canceled the request or its deadline has passed, so nothing is written.
 		p.pushIdle(call.Target, c)
 		return nil, verdict.Wrap(ctx.Err(), verdict.NotRun, verdict.ReasonCanceled, 0)
 	}
@@ -189,13 +189,13 @@
 
 // Sweep closes connections that have been idle for longer than their keep-alive
 // time, and all idle connections to targets that no longer exist.
-func (p *Pool) Sweep(now time.Time, there func(target string) bool) {
+func (p *Pool) Sweep(now time.Time, exists func(target string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for target, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if !there(target) || now.Sub(c.usedAt) > c.keepAlive {
+			if !exists(target) || now.Sub(c.usedAt) > c.keepAlive {
 				c.Close()
 				continue
 			}
