--- a/io/entry/crash_fleet_test.go
+++ b/io/entry/crash_fleet_test.go
@@ -179,7 +179,8 @@
 	wg.Wait()
 }
 
-// served reports whether a request is served if its caller retries after each Retry-After.
+// served reports whether a request is served within 20 tries, each after the last one's
+// Retry-After but at most 0.3 s later.
 func (v *runningVM) served(path, id string) bool {
 	for try := range 20 {
 		r := v.ask(path, fmt.Sprint(id, "-", try))
--- a/io/quarantine/publisher.go
+++ b/io/quarantine/publisher.go
@@ -24,7 +24,7 @@
 	// peer.
 	compareInterval = 500 * time.Millisecond
 	// startupPulls is how long after its start a VM requests all that a peer knows, once
-	// every pullInterval. By then all peers know the VM and send it their news.
+	// every pullInterval. After that, all peers know the VM and send it their news.
 	startupPulls = 3 * time.Second
 	pullInterval = 500 * time.Millisecond
 )
