--- a/core/poison/answer_test.go
+++ b/core/poison/answer_test.go
@@ -12,7 +12,7 @@
 
 // Guards against a suspect that is cleared by a response that proves nothing about the crashes
 // counted against it.
-func TestWhichAnswersClear(t *testing.T) {
+func TestAnswersThatClearSuspicion(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		began   int // Milliseconds; the upstreams crash at 1000 and 1010, the response comes at 1050.
@@ -64,8 +64,8 @@
 	}
 }
 
-// Guards against other VMs that clear a suspect of crashes after the response that they learn
-// of.
+// Guards against VMs that learn of a response and clear the suspect of crashes that came after
+// it.
 func TestPropagatedAnswersClearOfEarlierCrashesOnly(t *testing.T) {
 	a, b := poison.NewLedger(), poison.NewLedger()
 	crash(a, 1000, "i-1", "a")
