--- a/tools/soak/fleet.go
+++ b/tools/soak/fleet.go
@@ -211,7 +211,7 @@
 	err := f.operator().Configure(v.number)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.versions[v.number-1].accepted = time.Now()
+	f.versions[v.number-1].finished = time.Now()
 	return err
 }
 
@@ -230,7 +230,7 @@
 	for _, v := range f.vms {
 		for line := range strings.Lines(v.logs.String()) {
 			if strings.Contains(line, "auburnlatch-entry: error:") {
-				list = append(list, v.name+" ended by itself: "+strings.TrimSpace(line))
+				list = append(list, v.name+" exited unexpectedly: "+strings.TrimSpace(line))
 			}
 		}
 	}
